--- a/tests/fakes/row_store.c
+++ b/tests/fakes/row_store.c
@@ -7,7 +7,7 @@
 
 typedef struct
 {
-  char *table; /* "": every table has it */
+  char *table; /* "": in every table */
   char *key;
   char *json; /* NULL: removed */
   guint64 version;
@@ -28,8 +28,8 @@
   HtServer *server;
   char *address;
   GPtrArray *rows; /* Row, by version */
-  GPtrArray *log;  /* Row, all that were ever written in this era or copied into it */
-  gint64 era;      /* negative: it tells none */
+  GPtrArray *log;  /* Row, all writes of this era and those restored into it */
+  gint64 era;      /* negative: not stated */
   GPtrArray *waiting;
   guint64 version;
   guint64 history_from;
@@ -247,7 +247,7 @@
   answer_text (self, call, expected ? 200 : 412, "{}");
 }
 
-/* Whether no row of the table comes after the last one of the page. */
+/* Whether the page's last row is the table's last one. */
 static gboolean
 ends_with_last (const RowStore *self, const char *table, json_t *page)
 {
@@ -269,7 +269,7 @@
   return strcmp (text_of (*(json_t *const *)a, "key"), text_of (*(json_t *const *)b, "key"));
 }
 
-/* The rows from the key `from` on, as many as fit. */
+/* At most `most` rows in the order of their keys, from the key `from` on. Releases `rows`. */
 static json_t *
 page_of (json_t *rows, const char *from, guint most)
 {
@@ -301,7 +301,7 @@
   self->n_lists++;
   if (self->page > 0)
     rows = page_of (rows, from, self->page);
-  /* A page that begins at the last one's end goes on while there is more behind it. */
+  /* Each page begins with the last row of the one before; `morePages` is set while rows follow. */
   answer (self, call, rows,
           self->page > 0 && json_array_size (rows) == self->page && before > self->page
               && !ends_with_last (self, table, rows));
--- a/tests/fakes/row_store.h
+++ b/tests/fakes/row_store.h
@@ -1,9 +1,10 @@
 #pragma once
 
 /**
- * The platform's store on loopback, as far as it is used: rows of some tables,
- * reads of a whole table, feeds of its changes that wait, and transactions. A
- * test can have it lose its history, refuse, lose answers, or say nothing.
+ * Fake of the platform's store on loopback with the subset that is used: rows of
+ * tables, lists of a table, feeds that wait for changes, and transactions. A
+ * test can make it drop its history, refuse requests, drop connections, or not
+ * answer.
  */
 
 #include <event2/event.h>
@@ -16,8 +17,8 @@
 {
   ROW_STORE_SERVES,
   ROW_STORE_REFUSES, /**< 503 */
-  ROW_STORE_DROPS,   /**< closes the connection in place of an answer */
-  ROW_STORE_SILENT,
+  ROW_STORE_DROPS,   /**< closes the connection instead of answering */
+  ROW_STORE_SILENT,  /**< never answers */
 } RowStoreMode;
 
 RowStore *row_store_new (KnlKernel *kernel, struct event_base *base);
@@ -25,35 +26,35 @@
 
 const char *row_store_address (const RowStore *store);
 
-/** Writes a row, or removes it with `json` NULL. */
+/** Writes a row; removes it if `json` is NULL. */
 void row_store_put_in (RowStore *store, const char *table, const char *key, const char *json);
 
-/** The same, in every table that is asked for. */
+/** The same, in every table. */
 void row_store_put (RowStore *store, const char *key, const char *json);
 
 gboolean row_store_has (const RowStore *store, const char *table, const char *key);
 
-/** What a row of any table holds; NULL: there is none. */
+/** Value of the row with this key in any table; NULL: no such row, or it was removed. */
 const char *row_store_value (const RowStore *store, const char *key);
 
-/** Rows in an answer to a list, which is then read in pages. */
+/** Maximum number of rows in an answer to a list, which is then read in pages; 0: no maximum. */
 void row_store_set_page (RowStore *store, guint rows);
 
 guint64 row_store_version (const RowStore *store);
 
-/** The era that its answers tell; negative: none, as at first. */
+/** The era that its answers state; negative: none, which is the default. */
 void row_store_set_era (RowStore *store, gint64 era);
 
-/** It comes back from a copy of when `version` was the newest, in the next era; versions after it
- * are given out again. Feeds that wait are cut. */
+/** Restores the store to the state at `version`, in the next era; later versions are assigned
+ * again. Connections of waiting feeds are closed. */
 void row_store_return_to (RowStore *store, guint64 version);
 
 void row_store_set_mode (RowStore *store, RowStoreMode mode);
 
-/** Feeds that ask for what came before now are told that it is gone. */
+/** Requests for changes from before now are answered with 410 from now on. */
 void row_store_forget_history (RowStore *store);
 
-/** Calls of all kinds, those that were not served too. */
+/** Calls of all kinds, including those that weren't served. */
 guint row_store_n_calls (const RowStore *store);
 
 guint row_store_n_lists (const RowStore *store);
--- a/tests/unit/pl_decode_test.c
+++ b/tests/unit/pl_decode_test.c
@@ -1,4 +1,4 @@
-/** The platform's formats, decoded into the project's own types. */
+/** Decoding of the platform's formats into the project's types. */
 
 #include <glib/gstdio.h>
 #include <string.h>
@@ -37,7 +37,7 @@
   CU_ASSERT_TRUE (sv_route_is_idempotent (stream));
   CU_ASSERT_EQUAL (stream->gap_objective, 250 * KNL_MSEC);
   CU_ASSERT_EQUAL (stream->splits->len, 2);
-  /* What may be repeated is not guessed. */
+  /* A route of an unknown kind counts as at most once. */
   CU_ASSERT_EQUAL (plain->kind, SV_AT_MOST_ONCE);
   CU_ASSERT_EQUAL (plain->max_attempts, 1);
   CU_ASSERT_TRUE (sv_service_is_engine (sv_config_service (config, "x")));
@@ -59,7 +59,7 @@
   CU_ASSERT_PTR_NULL (pl_decode_config ("", 0));
 }
 
-/* The text with the first `old` in it replaced. */
+/* A copy of `text` with the first `old` replaced. */
 static char *
 with (const char *text, const char *old, const char *new)
 {
@@ -99,10 +99,9 @@
 }
 
 /*
- * Symptom: after a change requests go by the route as it was, or by none.
- * Sequence: a route changes, the others don't; the one before it in use goes.
- * Cause: routes that are taken over are mixed up, or freed with the
- * configuration that they came with.
+ * Guards against requests that use an outdated route, or none, after one route
+ * has changed and the previous configuration was freed: the reused routes were
+ * mixed up, or freed with the configuration that they came from.
  */
 static void
 test_unchanged_routes_are_taken_over (void)
@@ -116,7 +115,7 @@
   CU_ASSERT_PTR_EQUAL (sv_config_route (after, "h.example", "/a/1"), kept);
   CU_ASSERT_EQUAL (sv_config_route (before, "h.example", "/b/1")->timeout, KNL_SEC);
   CU_ASSERT_EQUAL (sv_config_route (after, "h.example", "/b/1")->timeout, 900 * KNL_MSEC);
-  /* The one that changed, and the one that is none, which is not kept. */
+  /* The changed route, and the invalid one, which is never kept for reuse. */
   CU_ASSERT_EQUAL (pl_config_decoder_n_decoded (decoder), 2);
   sv_config_unref (before);
   pl_config_decoder_free (decoder);
@@ -125,9 +124,8 @@
 }
 
 /*
- * Symptom: routes are missing for a while.
- * Sequence: bad bytes, or the next configuration, come when half of one has been read.
- * Cause: the half that was read was put in use.
+ * Guards against missing routes after invalid bytes, or the next configuration, arrive in the
+ * middle of a configuration: the incomplete configuration was applied.
  */
 static void
 test_broken_config (void)
@@ -155,7 +153,7 @@
   pl_config_decoder_free (decoder);
 }
 
-/* Encoders may escape a slash, and base64 has slashes. */
+/* JSON encoders may escape slashes, which base64 values contain. */
 static void
 test_answers (void)
 {
@@ -192,8 +190,8 @@
 static void
 test_endpoints (void)
 {
-  /* Whole entries, and entries by another writer: fields missing, of another type or absurd. Each
-   * of those names no endpoint. */
+  /* Complete entries, and entries that weren't written by an endpoint: with missing fields, fields
+   * of another type, or absurd values. Those must be rejected. */
   static const struct
   {
     const char *text;
@@ -253,7 +251,7 @@
     }
 }
 
-/* All that is wrong with a settings file is found in one pass. */
+/* All errors of a settings file are reported at once. */
 static void
 test_settings_findings (void)
 {
@@ -312,8 +310,8 @@
 }
 
 /*
- * Symptom: an endpoint sees a caller's key, another workspace's name, or a caller's own orders.
- * Cause: fields that the system sets were passed on as the caller sent them.
+ * Guards against an endpoint that receives a caller's key, another workspace's name, or helpers
+ * named by the caller: fields that the system sets were forwarded as the caller sent them.
  */
 static void
 test_forwarded_fields (void)
--- a/tests/unit/pl_era_test.c
+++ b/tests/unit/pl_era_test.c
@@ -1,4 +1,4 @@
-/** Eras of the store, as it tells them, and positions within them. */
+/** Parsing of the store's eras, and comparison of positions. */
 
 #include "platform/store_internal.h"
 #include "suite.h"
--- a/tests/unit/pl_mirror_test.c
+++ b/tests/unit/pl_mirror_test.c
@@ -1,5 +1,5 @@
-/** An instance that answers for the store: what those who ask it see when rows change, when it
- * knows less than they do, and when it may not answer. */
+/** Mirror: its answers when rows change, when it has older rows than its clients, and when it must
+ * not answer. */
 
 #include <string.h>
 
@@ -17,15 +17,15 @@
 /* A long value. Its answer is twice as long as text, and more than half of it packed. */
 #define LARGE_BYTES ((gsize)256 << 10)
 
-/* Within this a change passes the store's feed and the mirror's. */
+/* Time within which a change passes the store's feed and the mirror's. */
 #define PASSED (3 * GATHER)
 
-/** A feed and what it has handed on. */
+/** A feed and the rows that it has delivered. */
 typedef struct
 {
   PlFeed *feed;
   GHashTable *seen; /* key -> value as text */
-  PlMirror *mirror; /* told of changes; NULL: none */
+  PlMirror *mirror; /* notified of changes; NULL: none */
   guint n_lists;
   guint n_lost;
 } Follower;
@@ -39,17 +39,17 @@
   HtClient *client;
   RowStore *rows;
   PlStore *store;
-  PlStore *peer;  /* the mirror, as a store */
-  PlStore *plain; /* the same, asked by an instance that does not unpack */
+  PlStore *peer;  /* client of the mirror */
+  PlStore *plain; /* client of the mirror that doesn't accept packed answers */
   PlMirror *mirror;
-  Follower first;  /* asks the store */
-  Follower second; /* asks the mirror */
+  Follower first;  /* follows the store */
+  Follower second; /* follows the mirror */
 } Fixture;
 
 static void
 on_stuck (evutil_socket_t fd, short what, void *data)
 {
-  g_error ("nothing happens any more");
+  g_error ("the test makes no progress");
 }
 
 static void
@@ -161,7 +161,7 @@
   event_base_free (self->base);
 }
 
-/* Time passes in steps in which all that is sent arrives. */
+/* Advances the clock in steps, and delivers everything sent within each step. */
 static void
 pass (Fixture *self, KnlTime time)
 {
@@ -179,7 +179,7 @@
   CU_ASSERT_EQUAL (g_strcmp0 (g_hash_table_lookup (self->seen, key), value), 0);
 }
 
-/* A question that comes before it is known whether the store is followed waits. */
+/* The first request arrives before the mirror is opened, and waits. */
 static void
 test_changes_are_passed_on (void)
 {
@@ -194,7 +194,7 @@
   pass (&fixture, PASSED);
   check_value (&fixture.second, "a", "2");
   check_value (&fixture.second, "b", NULL);
-  /* One list is all that was read from the store. */
+  /* Only one list was read from the store. */
   pass (&fixture, 3 * WAIT);
   CU_ASSERT_EQUAL (row_store_n_lists (fixture.rows), 1);
   CU_ASSERT_EQUAL (fixture.second.n_lost, 0);
@@ -202,9 +202,9 @@
 }
 
 /*
- * Symptom: all instances of a zone read whole lists whenever the store has forgotten its history.
- * Sequence: the store forgets; who follows it reads the list anew, in which a row is missing.
- * Cause: what had changed between the two lists was not known to those who asked.
+ * Guards against all instances of a zone reading complete lists whenever the store no longer
+ * retains its history. The instance that follows the store reads the list again; the mirror must
+ * derive the changes between the two lists, rows missing in the second one included.
  */
 static void
 test_a_new_list_is_passed_on_as_changes (void)
@@ -214,7 +214,7 @@
   fixture_open (&fixture);
   pl_mirror_set_open (fixture.mirror, TRUE);
   pass (&fixture, PASSED);
-  /* After a change the feed rests, and does not hear of those that follow. */
+  /* After a change the feed delays its next poll, so it doesn't receive the following changes. */
   row_store_put (fixture.rows, "a", "{\"v\":\"2\"}");
   pass (&fixture, STEP);
   row_store_put (fixture.rows, "b", NULL);
@@ -229,10 +229,9 @@
 }
 
 /*
- * Symptom: an instance turns from one to the other of those that follow the store, hundreds of
- * times a second. Sequence: it has an answer from one, turns to the other, and that one's last
- * answer is older. Cause: who knew less than the asker refused, though only what comes later was
- * asked for.
+ * Guards against an instance that switches between two mirrors hundreds of times a second: it has
+ * an answer from one mirror and turns to another one, whose rows are older. That mirror refused the
+ * request, although only later changes were requested.
  */
 static void
 test_an_asker_may_know_more (void)
@@ -242,7 +241,7 @@
   fixture_open (&fixture);
   pl_mirror_set_open (fixture.mirror, TRUE);
   pass (&fixture, PASSED);
-  /* Time for the second one alone to hear of a change. */
+  /* Only the second feed receives the change. */
   pl_feed_set_source (fixture.second.feed, fixture.store);
   pl_feed_set_source (fixture.first.feed, fixture.peer);
   pl_mirror_set_open (fixture.mirror, FALSE);
@@ -261,9 +260,8 @@
 }
 
 /*
- * Symptom: instances know nothing new for as long as they live.
- * Sequence: each of two takes the other for the one that follows the store.
- * Cause: questions to one that asks others itself were answered.
+ * Guards against two instances that follow each other and never receive a change: a mirror answered
+ * requests although its own feeds don't follow the store.
  */
 static void
 test_who_asks_others_answers_nobody (void)
@@ -276,12 +274,13 @@
   CU_ASSERT_EQUAL (fixture.second.n_lost, 0);
   pl_mirror_set_open (fixture.mirror, FALSE);
   pass (&fixture, STEP);
-  /* The question that waited is refused at once too. */
+  /* The waiting request is refused at once too. */
   CU_ASSERT (fixture.second.n_lost > 0);
   fixture_close (&fixture);
 }
 
-/* Guards against rows of another era that a mirror serves as changes, or leaves out as known. */
+/* Guards against a mirror that serves rows of another era as changes, or omits rows since it
+ * compares versions of two eras. */
 static void
 test_an_era_passes_through_the_mirror (void)
 {
@@ -305,7 +304,7 @@
   fixture_close (&fixture);
 }
 
-/* Guards against an instance that takes an older era's rows for confirmed. */
+/* Guards against an instance that accepts rows of an earlier era as confirmed. */
 static void
 test_a_mirror_of_an_older_era_answers_nothing (void)
 {
@@ -327,7 +326,7 @@
   fixture_close (&fixture);
 }
 
-/* A text that packing makes only a little shorter. */
+/* A text that compresses poorly. */
 static char *
 dense_text (gsize length)
 {
@@ -340,15 +339,16 @@
   return g_string_free (text, FALSE);
 }
 
-/* Guards against a configuration that no instance of a cell passes on, so that all read it from the
- * store at once; and against one that takes a narrow link away from all else. */
+/* Guards against a configuration that the mirror never sends, so that all instances of the cell
+ * read it from the store at once; and against one that takes the whole bandwidth of a narrow link.
+ */
 static void
 test_what_the_link_has_no_room_for_is_refused (void)
 {
   static const struct
   {
     gsize limit;
-    guint n_served; /* of the two that ask */
+    guint n_served; /* of the two clients */
   } rows[] = {
     { G_MAXSIZE, 2 }, { 4 * LARGE_BYTES, 2 }, { LARGE_BYTES, 1 }, { LARGE_BYTES / 2, 1 }, { 40, 1 },
   };
@@ -368,7 +368,7 @@
       row_store_put (fixture.rows, "a", row);
       pass (&fixture, PASSED);
       CU_ASSERT_EQUAL ((fixture.second.n_lost == 0) + (third.n_lost == 0), rows[i].n_served);
-      /* One that was refused asks the store. */
+      /* A refused client turns to the store. */
       pl_feed_set_source (fixture.second.feed, fixture.store);
       pl_feed_set_source (third.feed, fixture.store);
       pass (&fixture, PASSED);
@@ -380,7 +380,7 @@
     }
 }
 
-/* Guards against instances of different releases in a cell. */
+/* Guards against packed answers to instances of an earlier release, which can't unpack them. */
 static void
 test_who_does_not_unpack_gets_text (void)
 {
@@ -417,11 +417,10 @@
 }
 
 /*
- * Symptom: all of a cell ask the same instance hundreds of times a second.
- * Sequence: it reads a list of several pages anew; the first ones have rows that
- * the askers don't know.
- * Cause: rows that have come, and are not passed on before the last page, were
- * taken for changes to answer with.
+ * Guards against a cell that polls one mirror hundreds of times a second. While
+ * the mirror reads a list of several pages again, rows of the first pages were
+ * treated as changes to answer with, although rows are served only after the
+ * last page.
  */
 static void
 test_pages_of_a_list (void)
@@ -440,14 +439,15 @@
   pl_rows_free (rows);
 }
 
-/* All that can happen to the store, in every order of so many steps. */
+/* Number of the events that can happen to the store, and of the steps that are tried in every order
+ * of them. */
 #define WALK_EVENTS 6
 #define WALK_STEPS  4
 
 typedef struct
 {
   Fixture fixture;
-  guint64 copy; /* version that the store returns to */
+  guint64 copy; /* version to which the store is restored */
   guint n_written;
   gboolean is_away;
 } Walk;
@@ -529,7 +529,8 @@
   fixture_close (&self.fixture);
 }
 
-/* Guards against an order of writes, copies, returns and outages after which instances differ. */
+/* Guards against an order of writes, copies, restorations and outages after which the followers'
+ * rows differ from the store's. */
 static void
 test_every_order_ends_alike (void)
 {
@@ -545,10 +546,11 @@
   { "pages of a list", test_pages_of_a_list },
   { "changes are passed on", test_changes_are_passed_on },
   { "a new list is passed on as changes", test_a_new_list_is_passed_on_as_changes },
-  { "an asker may know more", test_an_asker_may_know_more },
-  { "who asks others answers nobody", test_who_asks_others_answers_nobody },
-  { "what the link has no room for is refused", test_what_the_link_has_no_room_for_is_refused },
-  { "who does not unpack gets text", test_who_does_not_unpack_gets_text },
+  { "a client may have newer rows than the mirror", test_an_asker_may_know_more },
+  { "a mirror that does not follow the store refuses requests",
+    test_who_asks_others_answers_nobody },
+  { "answers beyond the send limit are refused", test_what_the_link_has_no_room_for_is_refused },
+  { "clients that accept no packing get text", test_who_does_not_unpack_gets_text },
   { "an era passes through the mirror", test_an_era_passes_through_the_mirror },
   { "a mirror of an older era answers nothing", test_a_mirror_of_an_older_era_answers_nothing },
   { "every order ends alike", test_every_order_ends_alike },
--- a/tests/unit/pl_packing_test.c
+++ b/tests/unit/pl_packing_test.c
@@ -1,4 +1,4 @@
-/** Bodies that instances pack for each other. */
+/** Compression of bodies between instances. */
 
 #include <string.h>
 
@@ -17,7 +17,7 @@
   return g_string_free_to_bytes (text);
 }
 
-/* FALSE: it was refused at some piece. */
+/* Returns FALSE if a piece was refused. */
 static gboolean
 unpack (GBytes *packed, gsize piece, GString *plain, gsize most)
 {
@@ -32,7 +32,7 @@
   return taken;
 }
 
-/* Guards against a configuration that is cut where its packed pieces end. */
+/* Guards against a configuration that is truncated at the end of a packed piece. */
 static void
 test_any_pieces_give_the_same (void)
 {
@@ -52,8 +52,8 @@
     }
 }
 
-/* Guards against a short body that takes all memory when it is unpacked, and against other bytes.
- */
+/* Guards against a short body that exhausts the memory when it is unpacked, and against a body that
+ * isn't packed. */
 static void
 test_what_is_too_large_or_no_packed_body_is_refused (void)
 {
--- a/tests/unit/pl_store_test.c
+++ b/tests/unit/pl_store_test.c
@@ -1,4 +1,4 @@
-/** Feeds of the store, while it refuses, loses answers, forgets its history or says nothing. */
+/** Feeds of the store: changes, failures of the store, truncated history, eras. */
 
 #include <string.h>
 
@@ -10,7 +10,7 @@
 #define WAIT    (1 * KNL_SEC)
 #define STUCK_S 20
 
-/* After changes the next question goes out within this. */
+/* After changes the next poll is sent after this delay. */
 #define GATHER      (200 * KNL_MSEC)
 #define GATHER_MOST (600 * KNL_MSEC)
 
@@ -27,9 +27,9 @@
 
   GHashTable *seen; /* key -> value as text */
   gboolean in_pieces;
-  GString *pieces; /* of the value that is read */
-  guint n_begun;   /* values */
-  KnlTime busy;    /* time that each row takes to take in */
+  GString *pieces; /* of the value being delivered */
+  guint n_begun;   /* number of values begun */
+  KnlTime busy;    /* time that processing each row takes */
   guint n_confirmed;
   KnlTime confirmed_at;
 } Fixture;
@@ -37,7 +37,7 @@
 static void
 on_stuck (evutil_socket_t fd, short what, void *data)
 {
-  g_error ("nothing happens any more");
+  g_error ("the test makes no progress");
 }
 
 static void
@@ -163,7 +163,7 @@
 static void
 turn (Fixture *self)
 {
-  /* Not EVLOOP_ONCE: it would wait for a socket while a job has slices left. */
+  /* Not EVLOOP_ONCE, which would wait for a socket while a job has slices left. */
   event_base_loop (self->base, EVLOOP_NONBLOCK);
   knl_kernel_run_due (self->kernel);
 }
@@ -201,8 +201,8 @@
 }
 
 /*
- * A confirmation holds as of the question, and where the store has waited longer without a change,
- * as of a second before the end of that wait.
+ * A confirmation is valid for the time of the request. If the store has waited longer than 1.2 s
+ * without a change, it is valid for the end of that wait less 1.2 s.
  */
 static void
 test_confirmed_as_of_the_question (void)
@@ -233,9 +233,9 @@
 }
 
 /*
- * Symptom: an instance works for minutes with an old list.
- * Sequence: the store drops its history while changes are made.
- * Cause: the feed went on from the newest version without reading the table anew.
+ * Guards against an instance that uses an outdated list for minutes: the store dropped its history
+ * while changes were made, and the feed continued at the newest version without reading the table
+ * again.
  */
 static void
 test_history_gone (void)
@@ -260,9 +260,9 @@
 }
 
 /*
- * Symptom: changes are never seen again after the store was away.
- * Sequence: calls are refused, answers are lost, or the connection goes silent, for a while.
- * Cause: the feed waits for an answer that does not come, or gives up.
+ * Guards against a feed that receives no changes after an outage in which calls were refused,
+ * answers were lost or the connection went silent: it waits indefinitely for an answer, or stops
+ * retrying.
  */
 static void
 test_store_away (void)
@@ -299,9 +299,8 @@
 }
 
 /*
- * Symptom: changes are seen seconds after the store is back.
- * Sequence: the store swallows a question; it serves again while the question still waits.
- * Cause: nothing but the question's own time limit, which is as long as the wait, ended it.
+ * Guards against changes that arrive seconds after the store recovered: it had lost a request, and
+ * only the request's own timeout, which is as long as the wait, ended it.
  */
 static void
 test_asked_again_at_once (void)
@@ -325,10 +324,9 @@
 }
 
 /*
- * Symptom: streams pause at all instances while configurations come in quick succession.
- * Sequence: each has many routes and takes a weak instance 60 ms to take in; the next one is asked
- * for 100 ms later, and is there.
- * Cause: the pause between questions did not follow what an answer costs.
+ * Guards against streams that stall at all instances while configurations follow each other
+ * quickly. Each has many routes and takes a slow instance 60 ms to process, and the next one was
+ * requested 100 ms later: the delay between polls didn't depend on the processing time.
  */
 static void
 test_rest_follows_the_cost_of_changes (void)
@@ -373,7 +371,7 @@
   return g_strdup_printf ("{\"v\":\"%s\"}", filler);
 }
 
-/* Lets sockets have their turn until a value is being read. */
+/* Runs the event loop until `n` values have begun. */
 static void
 wait_begun (Fixture *self, guint n)
 {
@@ -382,9 +380,8 @@
 }
 
 /*
- * Symptom: all streams of an instance pause when a configuration comes.
- * Sequence: a row of some hundred kB is decoded in one go.
- * Cause: the loop serves no socket and no timer meanwhile.
+ * Guards against streams that stall at an instance when it receives a configuration: a row of a few
+ * hundred kB was decoded at once, and the event loop served no socket and no timer meanwhile.
  */
 static void
 test_large_values_come_in_slices (void)
@@ -412,10 +409,10 @@
 }
 
 /*
- * Symptom: a change is lost, or a half of it stays.
- * Sequence: the feed is told to ask again, to ask another store, or is freed,
- * while a value is being read; the next version comes meanwhile.
- * Cause: what was half read was dropped without being asked for again.
+ * Guards against a change that is lost or applied in part: the feed polls again,
+ * changes its source or is freed while a value is being delivered and the next
+ * version arrives, and the partly delivered value was dropped without being
+ * requested again.
  */
 static void
 test_interrupted_values (void)
@@ -451,7 +448,7 @@
     }
 }
 
-/* Guards against 'nothing new' from a store that gives the same versions out again. */
+/* Guards against changes that are missed since a restored store assigns the same versions again. */
 static void
 test_versions_are_given_out_again (void)
 {
@@ -459,7 +456,7 @@
   guint64 version;
 
   fixture_open (&fixture);
-  /* The first era that a store tells may be any, 0 among them. */
+  /* The first era that a store states may be any number, 0 included. */
   row_store_set_era (fixture.rows, 0);
   wait_feeds (&fixture, 1);
   version = row_store_version (fixture.rows);
@@ -468,14 +465,14 @@
   row_store_return_to (fixture.rows, version);
   row_store_put (fixture.rows, "c", "{\"v\":\"other\"}");
   pass_steps (&fixture, 40);
-  /* What is gone is not kept, and what has its version now is there. */
+  /* The lost row is removed, and the row that now has its version is present. */
   CU_ASSERT_FALSE (g_hash_table_contains (fixture.seen, "b"));
   CU_ASSERT_EQUAL (g_strcmp0 (g_hash_table_lookup (fixture.seen, "c"), "other"), 0);
   CU_ASSERT_EQUAL (g_strcmp0 (g_hash_table_lookup (fixture.seen, "a"), "1"), 0);
   fixture_close (&fixture);
 }
 
-/* Guards against a list of two eras, pages of one and of the other. */
+/* Guards against a list that combines pages of two eras. */
 static void
 test_an_era_begins_within_a_list (void)
 {
@@ -500,7 +497,7 @@
   fixture_close (&fixture);
 }
 
-/* Guards against answers of no era, or of one that is over, that are taken for new. */
+/* Guards against answers without an era, or of an earlier one, that are accepted as current. */
 static void
 test_answers_of_no_known_era (void)
 {
@@ -533,7 +530,7 @@
   *(PlStatus *)data = status;
 }
 
-/* Guards against a refusal that is taken for an answer of before, since it tells no era. */
+/* Guards against a refusal that counts as an answer of an earlier era, since it states none. */
 static void
 test_refusals_need_no_era (void)
 {
@@ -551,7 +548,7 @@
   fixture_close (&fixture);
 }
 
-/* Guards against an era that is passed over since another one follows at once. */
+/* Guards against an era that is missed since another one follows at once. */
 static void
 test_eras_in_a_row (void)
 {
--- a/tests/unit/pl_transfer_test.c
+++ b/tests/unit/pl_transfer_test.c
@@ -1,4 +1,4 @@
-/** Answers of the store, or of an instance in its place, that take long to arrive. */
+/** Answers of the store, or of a mirror, that take long to arrive. */
 
 #include <signal.h>
 #include <string.h>
@@ -13,17 +13,17 @@
 #define STEP    (20 * KNL_MSEC)
 #define STUCK_S 20
 
-/* A value of many routes, as text, and what comes of it at a time. */
+/* Length of a value with many routes, and number of the pieces in which it is sent. */
 #define VALUE_BYTES 900000
 #define PIECES      30
 
-/* Between two pieces. */
+/* Interval between two pieces. */
 #define PIECE_EVERY (120 * KNL_MSEC)
 
-/* After this without a byte another answer must have been asked for. */
+/* After this time without a byte the feed must have sent another request. */
 #define SILENCE (3 * KNL_SEC)
 
-/** A store whose list is short and whose changes come piece by piece, as over a narrow link. */
+/** A store whose list is short and whose changes arrive in pieces, as over a narrow link. */
 typedef struct
 {
   struct event_base *base;
@@ -34,18 +34,18 @@
   HtClient *client;
   PlStore *store;
   PlFeed *feed;
-  HtCall *call; /* a question for changes that has no answer yet */
+  HtCall *call; /* a request for changes without a complete answer */
   char *changes;
   gsize sent;
   guint n_feeds;
-  guint n_rows;       /* of changes, that were handed on */
-  guint n_feeds_then; /* questions up to the last of them */
+  guint n_rows;       /* changed rows delivered */
+  guint n_feeds_then; /* value of n_feeds when the last of them was delivered */
 } Fixture;
 
 static void
 on_stuck (evutil_socket_t fd, short what, void *data)
 {
-  g_error ("nothing happens any more");
+  g_error ("the test makes no progress");
 }
 
 static void
@@ -114,7 +114,7 @@
     }
 }
 
-/* Base64 of a text that no two pieces of are alike. */
+/* A text without repeated parts. */
 static char *
 value_of (KnlKernel *kernel, gsize length)
 {
@@ -133,7 +133,7 @@
   return g_base64_encode ((const guchar *)text, strlen (text));
 }
 
-/* The address that it listens at. */
+/* Returns the address on which the server listens. */
 static char *
 open_server (Fixture *self)
 {
@@ -226,8 +226,8 @@
     }
 }
 
-/* Guards against configurations that never arrive since each answer may take as long as a short
- * one. */
+/* Guards against configurations that never arrive since the timeout for short answers ends their
+ * transfer. */
 static void
 test_an_answer_that_keeps_coming_is_not_given_up (void)
 {
@@ -240,8 +240,7 @@
   fixture_close (&fixture);
 }
 
-/* Guards against instances that ask for the same configuration again and again, and take none in
- * use. */
+/* Guards against instances that request the same configuration again and again, and apply none. */
 static void
 test_an_answer_under_way_is_not_asked_for_again (void)
 {
@@ -259,7 +258,8 @@
   fixture_close (&fixture);
 }
 
-/* Guards against a connection that goes silent in the middle of an answer. */
+/* Guards against a feed that waits indefinitely after the connection goes silent within an answer.
+ */
 static void
 test_an_answer_that_stops_is_asked_for_again (void)
 {
@@ -274,7 +274,8 @@
   fixture_close (&fixture);
 }
 
-/* Guards against a source that sends a byte now and then for ever. */
+/* Guards against a feed that waits indefinitely for a source that sends a single byte now and then.
+ */
 static void
 test_an_answer_that_trickles_is_asked_for_again (void)
 {
@@ -292,7 +293,8 @@
   fixture_close (&fixture);
 }
 
-/* Guards against a source that sends a head at once, and is asked nothing else while it waits. */
+/* Guards against a feed that doesn't poll again since its source sent the head of an answer at
+ * once, before there were changes to send. */
 static void
 test_a_head_alone_is_no_answer_under_way (void)
 {
