--- a/tests/unit/pl_packing_test.c
+++ b/tests/unit/pl_packing_test.c
@@ -69,8 +69,7 @@
 
 static const SuiteCase cases[] = {
   { "any pieces give the same", test_any_pieces_give_the_same },
-  { "what is too large or no packed body is refused",
-    test_what_is_too_large_or_no_packed_body_is_refused },
+  { "large or unpacked bodies are refused", test_what_is_too_large_or_no_packed_body_is_refused },
 };
 
 SUITE_MAIN ("pl_packing", cases)
