--- a/include/serve/config.h
+++ b/include/serve/config.h
@@ -1,15 +1,15 @@
 #pragma once
 
 /**
- * A declared configuration: routes, services, workspaces, limits. It does not
- * change once it is in use; requests keep the one that they were admitted by.
+ * A configuration: routes, services, workspaces, limits. It is immutable once in
+ * use; each request holds a reference to the one it was admitted by.
  */
 
 #include <glib.h>
 
 #include "kernel/kernel.h"
 
-/** Streams by how long a pause between their events they bear. */
+/** Class of a stream by the longest gap between its events that it tolerates. */
 typedef enum
 {
   SV_PAUSE_TIGHT,  /**< under SV_PAUSE_TIGHT_LIMIT */
@@ -24,7 +24,7 @@
 /** The class of a gap objective; 0, none stated, is loose. */
 SvPause sv_pause_of (KnlTime gap_objective);
 
-/** What may happen to a request more than once. */
+/** Kind of a route: whether its requests may run more than once, and how they are answered. */
 typedef enum
 {
   SV_IDEMPOTENT,   /**< may run more than once */
@@ -32,20 +32,21 @@
   SV_STREAM,       /**< a series of events; idempotent only where it may be resumed */
 } SvRouteKind;
 
-/** How a model engine spends its time and memory; all zero: not a model engine. */
+/** Performance figures of a model engine; all zero: not a model engine. */
 typedef struct
 {
-  guint slots;             /**< requests that it works on at once */
-  guint64 memory_tokens;   /**< tokens of context that it can keep */
-  guint stride;            /**< token steps in a pass with requests that write */
-  double step_ms;          /**< of a token step */
-  double writer_ms;        /**< a step, for each request that writes */
-  double context_ms_per_k; /**< a step, for each 1,000 tokens of context of a request that writes */
-  double read_tokens_per_ms;
-  double pair_ms_per_m; /**< reading: a million pairs of a token and an earlier one */
-  guint chunk;          /**< prompt tokens read in a step at most */
-  double usual_prompt;  /**< tokens, mean */
-  double usual_answer;  /**< tokens, mean */
+  guint slots;               /**< requests that it runs concurrently */
+  guint64 memory_tokens;     /**< tokens of context that it can hold */
+  guint stride;              /**< token steps in a forward pass with decoding streams */
+  double step_ms;            /**< time of a token step */
+  double writer_ms;          /**< added to a step for each decoding stream */
+  double context_ms_per_k;   /**< added to a step for each 1,000 tokens of context of its decoding
+                                  streams */
+  double read_tokens_per_ms; /**< prefill speed */
+  double pair_ms_per_m;      /**< prefill: time for a million pairs of a token and an earlier one */
+  guint chunk;               /**< most prompt tokens of prefill in a step */
+  double usual_prompt;       /**< tokens, mean */
+  double usual_answer;       /**< tokens, mean */
 } SvEngineSpec;
 
 typedef struct
@@ -62,28 +63,28 @@
 
 typedef struct
 {
-  gint refs; /**< configurations share the routes that did not change */
+  gint refs; /**< unchanged routes are shared between configurations */
   char *name;
   char *host;
   char *prefix; /**< begins and ends with a slash */
   SvRouteKind kind;
-  gboolean resumable;    /**< a broken stream may go on at another endpoint */
+  gboolean resumable;    /**< a broken stream may resume at another endpoint */
   gboolean is_public;    /**< needs no key */
-  KnlTime timeout;       /**< longest time from the request to its answer's end */
+  KnlTime timeout;       /**< longest time from the request to the end of its answer; 0: none */
   KnlTime objective;     /**< time to the answer, or to a stream's first event, for full credit */
-  KnlTime gap_objective; /**< streams: longest pause between events for full credit */
-  guint max_attempts;    /**< endpoints that one request may be sent to */
-  guint priority;        /**< 0 goes first */
+  KnlTime gap_objective; /**< streams: longest gap between events for full credit; 0: none */
+  guint max_attempts;    /**< sends of one request that may run */
+  guint priority;        /**< 0: most urgent */
   GArray *splits;        /**< SvSplit, at least one */
 } SvRoute;
 
 typedef struct
 {
   char *name;
-  gint priority; /**< -1: the route's */
+  gint priority; /**< -1: that of the route */
 } SvWorkspace;
 
-/** What callers may send, and how long they may take. */
+/** Limits for what callers send: sizes and times. */
 typedef struct
 {
   gsize max_head_bytes;
@@ -101,9 +102,9 @@
   GHashTable *services;    /**< name -> SvService */
   GHashTable *keys;        /**< API key -> SvWorkspace */
   GPtrArray *workspaces;   /**< SvWorkspace */
-  gboolean has_workspaces; /**< keys are asked for */
+  gboolean has_workspaces; /**< keys are required, except on public routes */
   SvCallerLimits limits;
-  KnlTime shortest_gaps[SV_N_PAUSES]; /**< least gap objective of the routes in each class */
+  KnlTime shortest_gaps[SV_N_PAUSES]; /**< smallest gap objective of the routes in each class */
 } SvConfig;
 
 SvConfig *sv_config_new (guint64 version);
@@ -116,16 +117,16 @@
 void sv_route_unref (SvRoute *route);
 void sv_route_add_split (SvRoute *route, const char *service, double weight);
 
-/** Takes the reference over; a route of the same host and prefix goes. */
+/** Takes ownership of the reference; replaces a route with the same host and prefix. */
 void sv_config_add_route (SvConfig *config, SvRoute *route);
 
-/** A new service of that name, owned by the configuration. */
+/** Adds a service of that name; owned by the configuration. */
 SvService *sv_config_add_service (SvConfig *config, const char *name);
 
 SvWorkspace *sv_config_add_workspace (SvConfig *config, const char *name);
 void sv_config_add_key (SvConfig *config, SvWorkspace *workspace, const char *key);
 
-/** The route of the host with the longest prefix that begins the path, or NULL. */
+/** The host's route with the longest prefix of the path, or NULL. A port in `host` is ignored. */
 const SvRoute *sv_config_route (const SvConfig *config, const char *host, const char *path);
 
 const SvService *sv_config_service (const SvConfig *config, const char *name);
@@ -133,11 +134,11 @@
 /** The workspace that holds the key, or NULL. */
 const SvWorkspace *sv_config_workspace (const SvConfig *config, const char *key);
 
-/** The service that a point in [0, 1) falls to by the route's weights. */
+/** The service that a point in [0, 1) selects by the weights of the route's splits. */
 const char *sv_route_service (const SvRoute *route, double point);
 
 /** Whether the route's requests may run more than once. */
 gboolean sv_route_is_idempotent (const SvRoute *route);
 
-/** Whether the service's endpoints are model engines whose figures are known. */
+/** Whether the service's endpoints are model engines with known figures; FALSE for NULL. */
 gboolean sv_service_is_engine (const SvService *service);
--- a/include/serve/core.h
+++ b/include/serve/core.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /**
- * The core: what becomes of each caller's request from its reception to its
- * answer. It opens no listening socket and reads no format; those come from
- * outside through HtCall, HtClient, SvDialect and SvPeerLink.
+ * The core handles each caller's request from its reception to its answer. It
+ * opens no listening socket and parses no message format; HtCall, HtClient,
+ * SvDialect and SvPeerLink provide these.
  */
 
 #include "common/metrics.h"
@@ -18,20 +18,20 @@
 typedef struct SvCore SvCore;
 typedef struct SvPeerLink SvPeerLink;
 
-/** How other instances hear of what this one does. */
+/** How this instance announces its state to other instances. */
 typedef struct
 {
-  /** A prompt was placed for reading at the endpoints with these keys. */
+  /** A prompt was placed for prefill at the endpoints with these keys. */
   void (*read_placed) (SvPeerLink *link, const SvRead *read, const guint64 *keys, guint n);
-  /** It has been read, or will not be. */
+  /** Its prefill is complete or was abandoned. */
   void (*read_ended) (SvPeerLink *link, guint64 prompt);
-  /** What this instance has in flight has changed somewhere. */
+  /** This instance's load at some endpoint, or an endpoint's advertised limit, has changed. */
   void (*load_changed) (SvPeerLink *link);
-  /** A request with this fingerprint ended the connection of the endpoint that ran it. */
+  /** A request with this fingerprint made the endpoint that ran it close the connection. */
   void (*suspect) (SvPeerLink *link, guint64 fingerprint);
-  /** A request was lost at the endpoint (`lost`), or one that was doubted has answered. */
+  /** A request was lost at the endpoint (`lost`), or an endpoint with loss reports has answered. */
   void (*health_changed) (SvPeerLink *link, const SvEndpoint *endpoint, gboolean lost);
-  /** How many instances there are, this one counted. */
+  /** Number of instances, including this one. */
   guint (*n_instances) (const SvPeerLink *link);
 } SvPeerLinkClass;
 
@@ -51,54 +51,58 @@
   const char *zone;
 } SvCoreParts;
 
-/** The parts outlive the core. */
+/** The parts must outlive the core. */
 SvCore *sv_core_new (const SvCoreParts *parts, const SvBounds *bounds);
 
-/** Drops the requests that have not ended, without a word to their callers. To be called while the
- * server of their calls lives, which owns their messages. */
+/** Drops requests that have not ended, without answering their callers. Must be called before the
+ * server that owns their calls and messages is freed. */
 void sv_core_free (SvCore *core);
 
 void sv_core_set_bounds (SvCore *core, const SvBounds *bounds);
 
-/** A configuration; one that is not newer than that in use is ignored (FALSE). */
+/** Applies a configuration, taking a reference. FALSE: ignored, as it isn't newer than the one in
+ * use. */
 gboolean sv_core_set_config (SvCore *core, SvConfig *config);
 
 /** The configuration in use, or NULL. */
 const SvConfig *sv_core_config (const SvCore *core);
 
-/** At `asked_at` the configuration in use was the newest. */
+/** Records that the configuration in use was the newest at `asked_at`. */
 void sv_core_confirm (SvCore *core, KnlTime asked_at);
 
-/** When the configuration was last known to be the newest; -KNL_NEVER: never. */
+/** When the configuration was last confirmed to be the newest; -KNL_NEVER: never. */
 KnlTime sv_core_confirmed_at (const SvCore *core);
 
-/** When it was first known that there is a newer configuration than that in use; KNL_NEVER: it is
- * not. */
+/** When a newer configuration than the one in use was first known to exist; KNL_NEVER: none is
+ * known. */
 typedef KnlTime (*SvOutdatedFunc) (gpointer data);
 
-/** Callers are refused when a newer configuration has been missing for too long. */
+/** Sets the function that tells since when the configuration is stale; callers are refused when
+ * that exceeds the staleness bound. */
 void sv_core_set_outdated (SvCore *core, SvOutdatedFunc since, gpointer data);
 
-/** Takes a request; it is answered by and by. */
+/** Handles a new request; its answer is asynchronous. */
 void sv_core_take (SvCore *core, HtCall *call);
 
-/** Its caller has left. */
+/** The call's caller has disconnected. */
 void sv_core_gone (SvCore *core, HtCall *call);
 
-/** From now on long work is refused, so that what runs can end within the grace. */
+/** Starts draining: after a part of the grace, new streams are refused so that running requests can
+ * end within it. */
 void sv_core_drain (SvCore *core);
 
-/** The process is about to end: every request that has not ended gets an answer now. */
+/** The process is about to exit: answers or aborts every request that has not ended. */
 void sv_core_end_all (SvCore *core);
 
-/** Whether callers can be served: there is a configuration, recent enough, and no drain. */
+/** Whether callers can be served: a recent enough configuration is in use, and this instance isn't
+ * draining. */
 gboolean sv_core_is_ready (const SvCore *core);
 
-/** Requests that have not ended. */
+/** Number of requests that have not ended. */
 guint sv_core_n_requests (const SvCore *core);
 
-/** The endpoint has started again and knows nothing of before: what it had in flight is lost. */
+/** The endpoint has restarted: its requests in flight are lost, and are retried or ended. */
 void sv_core_note_replaced (SvCore *core, const SvEndpoint *endpoint);
 
-/** Another instance reports a suspect, see SvPeerLinkClass. */
+/** Another instance reports a suspect; see SvPeerLinkClass. */
 void sv_core_note_suspect (SvCore *core, guint64 fingerprint);
--- a/include/serve/dialect.h
+++ b/include/serve/dialect.h
@@ -1,94 +1,95 @@
 #pragma once
 
 /**
- * What the core needs to know of the messages that callers and endpoints speak.
- * An adapter fills it; it translates and decides nothing.
+ * Interface between the core and the HTTP messages of callers and endpoints. It is
+ * implemented by an adapter that only translates and makes no decisions.
  */
 
 #include "http/message.h"
 #include "serve/fleet.h"
 
-/** An answer with this status is another endpoint's, at the address of the one that was asked. */
+/** Status of an answer by another endpoint than the intended one, at the same address. */
 #define SV_STATUS_MISDIRECTED 421
 
 typedef struct SvDialect SvDialect;
 
-/** What a caller asks for, beside method, target and body. Strings live as long as the message. */
+/** A caller's request, besides method, target and body. Strings are owned by the message. */
 typedef struct
 {
-  const char *id; /**< of this attempt of the caller; NULL: none */
+  const char *id; /**< id of this attempt by the caller; NULL: none */
   const char *host;
   const char *key;        /**< API key; NULL: none */
-  KnlTime limit;          /**< how long the caller waits; 0: not said */
+  KnlTime limit;          /**< how long the caller waits; 0: not stated */
   guint64 prompt_tokens;  /**< 0: not a prompt */
-  guint64 answer_tokens;  /**< most that may be written */
-  guint64 answer_hint;    /**< the caller's guess of it; 0: none */
-  const char *last_event; /**< the stream goes on after this event; NULL: from its begin */
+  guint64 answer_tokens;  /**< most tokens to generate */
+  guint64 answer_hint;    /**< the caller's estimate of that number; 0: none */
+  const char *last_event; /**< the stream resumes after this event; NULL: it starts anew */
 } SvAsk;
 
-/** An endpoint that reads a part of the prompt. */
+/** An endpoint that processes a part of the prompt. */
 typedef struct
 {
   const SvEndpoint *endpoint;
-  const char *reservation; /**< memory set aside there for the part; NULL: none */
+  const char *reservation; /**< id of the memory reserved there; NULL: none */
 } SvHelper;
 
-/** A request on its way to an endpoint. */
+/** A request to be sent to an endpoint. */
 typedef struct
 {
   const HtMessage *request; /**< the caller's */
   const SvAsk *ask;
   const SvEndpoint *endpoint;
   const char *workspace;  /**< NULL: none */
-  KnlTime left;           /**< time that the endpoint has */
+  KnlTime left;           /**< time until the deadline; 0: none */
   const char *last_event; /**< as in SvAsk */
-  guint urgency;          /**< 0 goes first, 9 last */
+  guint urgency;          /**< from 0 (first) to 9 (last) */
   const SvHelper *helpers;
   guint n_helpers;
 } SvForward;
 
-/** What the head of an endpoint's answer says. Strings live as long as the message. */
+/** Content of the head of an endpoint's answer. Strings are owned by the message. */
 typedef struct
 {
   guint status;
-  const char *id;       /**< of the request that it answers; NULL: not said */
-  gboolean is_signed;   /**< it bears the endpoint's signature */
-  gboolean not_run;     /**< it promises that the request has not run and never will */
-  gboolean is_encoded;  /**< the body is not the endpoint's own bytes */
-  gint in_service;      /**< requests that the endpoint runs or has waiting; -1: not said */
-  const char *at_fault; /**< address of the endpoint that made it fail; NULL: not said */
-  KnlTime rest; /**< the endpoint wants nothing from this instance for so long; 0: not said */
-  gboolean is_leaving; /**< it is about to end, by its own word */
-  double limit;        /**< requests a second that the endpoint takes from all callers together;
-                            POL_NO_LIMIT: any number */
+  const char *id;       /**< id of the request that it answers; NULL: not stated */
+  gboolean is_signed;   /**< the answer has the endpoint's signature */
+  gboolean not_run;     /**< the endpoint promises that the request has not run and never will */
+  gboolean is_encoded;  /**< the body has a content encoding */
+  gint in_service;      /**< running and queued requests at the endpoint; -1: not stated */
+  const char *at_fault; /**< address of the endpoint that caused the failure; NULL: not stated */
+  KnlTime rest;         /**< Retry-After: no request from this instance for so long; 0: none */
+  gboolean is_leaving;  /**< the endpoint advertises that it is about to exit */
+  double limit; /**< requests per second that the endpoint accepts from all callers together;
+                     POL_NO_LIMIT: any number */
 } SvReply;
 
-/** Takes what an answer says of the endpoint's limit, and logs a change. TRUE: it has changed. */
+/** Applies the limit that an answer advertises, and logs a change. TRUE: it has changed. */
 gboolean sv_reply_note_limit (const SvReply *reply, SvEndpoint *endpoint, KnlTime at);
 
-/** Takes what an answer says of the endpoint itself, but for its load, and logs what is new. TRUE:
- * peers want to know. */
+/** Applies the signals about the endpoint in an answer (leaving, Retry-After, limit) and logs
+ * changes. TRUE: the limit has changed, which is to be announced to peers. */
 gboolean sv_reply_note_words (const SvReply *reply, SvEndpoint *endpoint, KnlTime at);
 
-/** Sets memory of an endpoint aside, or gives it back. */
+/** An order that reserves memory of an endpoint, or releases it. */
 typedef struct
 {
   const char *id;
-  guint64 tokens; /**< 0: give it back */
-  KnlTime hold;   /**< it comes back by itself after this */
+  guint64 tokens; /**< 0: release the reservation */
+  KnlTime hold;   /**< lease: the endpoint releases it after this time */
 } SvReserve;
 
 typedef struct
 {
   void (*read_ask) (SvDialect *dialect, const HtMessage *request, SvAsk *ask);
-  /** Start line and fields of the request to the endpoint, but Content-Length. */
+  /** Start line and header fields of the request to the endpoint, except Content-Length. */
   GString *(*write_forward) (SvDialect *dialect, const SvForward *forward);
   void (*read_reply) (SvDialect *dialect, const HtMessage *answer, SvReply *reply);
-  /** Fields of the endpoint's answer that are passed on. */
+  /** Header fields of the endpoint's answer that are forwarded. */
   GString *(*write_reply) (SvDialect *dialect, const HtMessage *answer);
-  /** Fields of a refusal of our own: which attempt, and when to come back (0: not said). */
+  /** Header fields of a refusal by this instance: the attempt's id and Retry-After (0: none). */
   GString *(*write_refusal) (SvDialect *dialect, const SvAsk *ask, KnlTime retry_after);
-  /** Body and start line of an order about memory. */
+  /** Returns the body of a reservation order; sets `head` to its start line and header fields. Both
+   * are owned by the caller. */
   GString *(*write_reserve) (SvDialect *dialect,
                              const SvEndpoint *endpoint,
                              const SvReserve *reserve,
--- a/include/serve/fleet.h
+++ b/include/serve/fleet.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * The endpoints that requests can be sent to: who they are, what this instance
- * and its peers have in flight there, and how they have behaved.
+ * The endpoints that requests can be sent to: their identity, the load that this
+ * instance and its peers have in flight there, and their health.
  */
 
 #include <glib.h>
@@ -17,15 +17,15 @@
 
 typedef struct SvFleet SvFleet;
 
-/** What one or more instances have in flight at an endpoint. */
+/** Load that one or more instances have in flight at an endpoint. */
 typedef struct
 {
   guint calls;                /**< requests sent and not ended */
-  guint writers[SV_N_PAUSES]; /**< of them, streams */
-  guint64 tokens;             /**< context that they will have at their end */
+  guint writers[SV_N_PAUSES]; /**< of these, decoding streams by gap class */
+  guint64 tokens;             /**< total context at the end of their answers */
 } SvLoad;
 
-/** What one peer, or all instances of another cell, have in flight at an endpoint. */
+/** Load that one peer, or all instances of another cell, have in flight at an endpoint. */
 typedef struct
 {
   guint32 source; /**< id of the peer or cell */
@@ -33,65 +33,67 @@
   SvLoad load;
 } SvPeerLoad;
 
-/** What somebody has told of requests that were sent to an endpoint with a limit. */
+/** A reported number of requests sent to an endpoint that advertises a limit. */
 typedef struct
 {
   guint32 source; /**< as in SvPeerLoad */
   gboolean is_cell;
-  guint32 teller; /**< id of the peer that speaks for it */
-  guint32 sent;   /**< since the limit was named, as told last */
+  guint32 teller; /**< id of the peer that reported it */
+  guint32 sent;   /**< since the limit was advertised, by the last report */
 } SvToldSends;
 
 typedef enum
 {
   SV_ENDPOINT_READY,
-  SV_ENDPOINT_LEAVING, /**< it says so, or its entry is gone; a last resort for a short while */
+  SV_ENDPOINT_LEAVING, /**< it advertises that, or its row was removed; a last resort during the
+                            leave grace */
 } SvEndpointState;
 
 typedef struct
 {
   gint refs;
   char *id;
-  guint64 start; /**< when its process started, on its own clock; 0: it doesn't say */
+  guint64 start; /**< when its process started, by its own clock; 0: not known */
   char *service;
   char *address;
   char *zone;
   guint slots;
   guint64 key;         /**< hash of the id and the start, the same at every instance */
-  SvPosition revision; /**< of the entry that it was last described by; version 0: unknown */
+  SvPosition revision; /**< of its row as last applied; version 0: unknown */
   SvEndpointState state;
   KnlTime leaving_since;
-  KnlTime said_leaving_at; /**< it said that it leaves, in an answer to us; 0: it has not */
-  gboolean is_unlisted; /**< its entry is gone; it stays for the time that a leaving one serves */
-  gboolean is_replaced; /**< another start, service or address has its id; only owners of a
-                             reference still see it */
+  KnlTime said_leaving_at; /**< when it advertised, in an answer to this instance, that it is
+                                leaving; 0: it has not */
+  gboolean is_unlisted;    /**< its row was removed; it is kept for the leave grace */
+  gboolean is_replaced;    /**< its id now belongs to another start, service or address; only
+                                holders of a reference still see it */
 
   SvLoad own;
   SvLoad others;         /**< sum of `peers` */
-  SvLoad cells;          /**< the part of `others` that is of other cells */
-  SvLoad told;           /**< what other cells were last told of ours */
+  SvLoad cells;          /**< the part of `others` that belongs to other cells */
+  SvLoad told;           /**< load of this cell as last announced to other cells */
   GArray *peers;         /**< SvPeerLoad */
-  SvReads reads;         /**< prompts that anyone has sent there and that have not been read */
-  gboolean own_changed;  /**< since peers were told */
-  gboolean cell_changed; /**< since other cells were told of ours */
-
-  guint reported_calls; /**< what it last said that it runs or has waiting */
-  KnlTime reported_at;  /**< when */
-  KnlTime heard_at;     /**< last bytes of any answer, to us or to a peer; 0: none yet */
-  KnlTime answered_at;  /**< last whole answer to us; 0: none yet */
-  PolHealth health;     /**< by our own requests there */
-  PolBelief belief;     /**< by what all instances tell of it */
-  PolHealth helping;    /**< by our prompts that it was to read parts of for others */
-  KnlTime rests_until;  /**< it wants nothing from this instance before, by its own word */
-  PolLimit limit;       /**< by its own word */
-  guint32 sent;         /**< requests of this instance since it named a limit */
-  guint32 sent_in_cell; /**< the same of all instances of our cell, as far as they have told */
-  guint32 told_sent;    /**< what other cells were last told of `sent_in_cell` */
-  double told_rate;     /**< what they were last told of the limit */
+  SvReads reads;         /**< prefills that any instance has placed there, not yet complete */
+  gboolean own_changed;  /**< since the last announcement to peers */
+  gboolean cell_changed; /**< since the last announcement to other cells */
+
+  guint reported_calls; /**< running and queued requests, by its own last report */
+  KnlTime reported_at;  /**< when it reported them */
+  KnlTime heard_at;     /**< last bytes of any answer, to this instance or a peer; 0: none yet */
+  KnlTime answered_at;  /**< last complete answer to this instance; 0: none yet */
+  PolHealth health;     /**< by this instance's own requests there */
+  PolBelief belief;     /**< by losses reported by all instances */
+  PolHealth helping;    /**< as a helper for this instance's prompts */
+  KnlTime rests_until;  /**< end of the Retry-After that it advertised to this instance */
+  PolLimit limit;       /**< request rate limit that it advertises */
+  guint32 sent;         /**< requests of this instance since it advertised a limit */
+  guint32 sent_in_cell; /**< the same for all instances of this cell, as far as reported */
+  guint32 told_sent;    /**< `sent_in_cell` as last announced to other cells */
+  double told_rate;     /**< the limit's rate as last announced to other cells */
   GArray *told_sends;   /**< SvToldSends */
 } SvEndpoint;
 
-/** What the platform's list says of an endpoint. */
+/** An endpoint's row in the platform's list. */
 typedef struct
 {
   const char *id;
@@ -104,136 +106,137 @@
   SvPosition revision; /**< in the store; version 0: unknown */
 } SvEndpointEntry;
 
-/** The id of `endpoint` names another start of it from now on. */
+/** The id of `endpoint` now belongs to another start, service or address of it. */
 typedef void (*SvReplacedFunc) (SvEndpoint *endpoint, gpointer data);
 
-/** `leave_grace`: how long a leaving endpoint may still be sent requests. */
+/** `leave_grace`: how long a leaving endpoint may still be sent requests as a last resort. */
 SvFleet *sv_fleet_new (KnlKernel *kernel, KnlTime leave_grace);
 void sv_fleet_free (SvFleet *fleet);
 
 void sv_fleet_on_replaced (SvFleet *fleet, SvReplacedFunc func, gpointer data);
 
-/** The entry is new or has changed; one that is older than what is known is passed over. */
+/** Applies a new or changed row; one that is older than the row applied last is ignored. */
 void sv_fleet_update (SvFleet *fleet, const SvEndpointEntry *entry);
 
-/** The entry is gone. */
+/** The endpoint's row was removed; unknown ids are ignored. */
 void sv_fleet_remove (SvFleet *fleet, const char *id);
 
-/** Drops endpoints whose entry has been gone for long. */
+/** Drops endpoints whose row was removed more than the leave grace ago. */
 void sv_fleet_sweep (SvFleet *fleet);
 
-/** A whole list follows by sv_fleet_update(), ended by sv_fleet_end_list(), which removes all
- * others. */
+/** Begins a full list: each row follows by sv_fleet_update(), and sv_fleet_end_list() removes the
+ * endpoints that were not in it. */
 void sv_fleet_begin_list (SvFleet *fleet);
 void sv_fleet_end_list (SvFleet *fleet);
 
-/** Endpoints of the service by rising key; owned by the fleet, NULL: none. */
+/** Endpoints of the service in ascending order of key; owned by the fleet. NULL: none. */
 const GPtrArray *sv_fleet_service (const SvFleet *fleet, const char *service);
 
 SvEndpoint *sv_fleet_by_key (const SvFleet *fleet, guint64 key);
 
-/** How many instances there are, and how many of them this one hears, itself counted: what
- * endpoints take from all together is divided by that. */
+/** Sets how many instances exist and how many of them this one receives messages from, itself
+ * included in both; its share of an endpoint's limit follows from them. */
 void sv_fleet_set_instances (SvFleet *fleet, guint known, guint heard);
 
-/** All endpoints. */
+/** All endpoints; owned by the fleet. */
 const GPtrArray *sv_fleet_all (const SvFleet *fleet);
 
-/** A prompt is read in equal parts by the endpoints with these keys; unknown ones are left out. */
+/** Registers the prefill of a prompt, in equal parts, at the endpoints with these keys; unknown
+ * keys are skipped. */
 void sv_fleet_add_read (SvFleet *fleet, const SvRead *read, const guint64 *keys, guint n);
 
-/** The prompt has been read, or will not be. */
+/** The prefill of the prompt is complete or was abandoned. */
 void sv_fleet_end_read (SvFleet *fleet, guint64 prompt);
 
-/** A prompt that is being read; `read->length` is what is left of each part. */
+/** A prompt in prefill; `read->length` is the time left for each part. */
 typedef void (*SvFleetReadFunc) (const SvRead *read, const guint64 *keys, guint n, gpointer data);
 
-/** Has `func` told of each prompt that is to be read, by whoever placed it; NULL: nobody. */
+/** Sets the callback for each newly registered prefill, from any instance; NULL: none. */
 void sv_fleet_on_read (SvFleet *fleet, SvFleetReadFunc func, gpointer data);
 
-/** Names all prompts that are being read and whose end will be told. */
+/** Calls `func` for each prompt in prefill whose end will be announced. */
 void sv_fleet_each_read (SvFleet *fleet, SvFleetReadFunc func, gpointer data);
 
-/** Streams of all kinds. */
+/** Number of decoding streams of all gap classes. */
 guint sv_load_writers (const SvLoad *load);
 
 SvEndpoint *sv_endpoint_ref (SvEndpoint *endpoint);
 void sv_endpoint_unref (SvEndpoint *endpoint);
 
-/** Whether requests may go there now. */
+/** Whether requests may be sent there now: it isn't leaving nor backed off, and after a loss this
+ * instance has no other request in flight there. */
 gboolean sv_endpoint_usable (const SvEndpoint *endpoint, KnlTime now);
 
-/** It is about to end; one that is leaving already has been since then. */
+/** Marks the endpoint as leaving; no-op if it is already. */
 void sv_endpoint_begin_leaving (SvEndpoint *endpoint, KnlTime now);
 
-/** Whether it may be sent requests when no usable one is left. */
+/** Whether it may be sent requests when no endpoint is usable. */
 gboolean sv_endpoint_last_resort (const SvFleet *fleet, const SvEndpoint *endpoint);
 
-/** Whether it counts as leaving for too long to be sent anything. */
+/** Whether its leave grace has passed, so that it is sent nothing. */
 gboolean sv_endpoint_is_gone (const SvFleet *fleet, const SvEndpoint *endpoint);
 
-/** Adds to (or with `sign` -1 takes from) what this instance has in flight there. */
+/** Adds `load` to (or with `sign` -1 subtracts it from) this instance's load there. */
 void sv_endpoint_charge (SvEndpoint *endpoint, const SvLoad *load, gint sign);
 
-/** Time until all that was placed there has been read. */
+/** Time until all prefills placed there are expected to be complete. */
 KnlTime sv_endpoint_read_left (SvEndpoint *endpoint, KnlTime now);
 
-/** A peer has `load` in flight there. */
+/** Sets the load that a peer has in flight there. */
 void sv_endpoint_set_peer (SvEndpoint *endpoint, guint32 peer, const SvLoad *load);
 
-/** Nothing is known of the peer any more. */
+/** Drops the load of a peer that is no longer known. */
 void sv_endpoint_drop_peer (SvEndpoint *endpoint, guint32 peer);
 
 /** The same for all instances of another cell together. */
 void sv_endpoint_set_cell (SvEndpoint *endpoint, guint32 cell, const SvLoad *load);
 void sv_endpoint_drop_cell (SvEndpoint *endpoint, guint32 cell);
 
-/** What this instance and the peers of its cell have in flight there. */
+/** Load that this instance and the peers of its cell have in flight there. */
 SvLoad sv_endpoint_own_cell (const SvEndpoint *endpoint);
 
-/** The endpoint has just said that it has so many calls. */
+/** The endpoint has just reported this number of running and queued requests. */
 void sv_endpoint_note_report (SvEndpoint *endpoint, guint calls, KnlTime now);
 
-/** All that is in flight there, as far as is known. */
+/** All load in flight there, as far as known. */
 SvLoad sv_endpoint_load (const SvEndpoint *endpoint, KnlTime now);
 
-/** TRUE: it was doubted, so that peers want to know. */
+/** Records a complete answer. TRUE: it had loss reports, so the answer is to be announced. */
 gboolean sv_endpoint_note_success (SvEndpoint *endpoint, KnlTime now);
 
-/** An instance (0: this one) has lost a request there. */
+/** Records a loss reported by an instance (`teller` 0: this one). */
 void sv_endpoint_note_told_loss (SvEndpoint *endpoint, guint32 teller, KnlTime now);
 
-/** A peer that doubted it has had an answer. */
+/** A peer reports an answer from an endpoint that had loss reports. */
 void sv_endpoint_note_told_answer (SvEndpoint *endpoint);
 
-/** Whether it rests by what instances tell each other. */
+/** Whether it is backed off because of losses that instances have reported. */
 gboolean sv_endpoint_is_doubted (const SvEndpoint *endpoint, KnlTime now);
 
-/** Whether it may be asked to read a part of a prompt that another endpoint runs. */
+/** Whether it may be a helper for a prompt that another endpoint runs. */
 gboolean sv_endpoint_can_help (const SvEndpoint *endpoint, KnlTime now);
 
-/** It was named as the reason why a prompt was rejected that it was to read a part of. */
+/** A prompt was rejected, and the answer named this helper as the cause. */
 void sv_endpoint_note_no_help (SvEndpoint *endpoint, KnlTime now);
 
-/** It has read its part of a prompt. */
+/** It has completed its part of a prompt as a helper. */
 void sv_endpoint_note_help (SvEndpoint *endpoint);
 
-/** It has named at `named_at` how many requests a second it takes from all instances; POL_NO_LIMIT:
- * any number. TRUE: that has changed. */
+/** The endpoint advertised at `named_at` that it accepts `rate` requests per second from all
+ * instances together; POL_NO_LIMIT: any number. TRUE: that has changed. */
 gboolean sv_endpoint_note_limit (SvEndpoint *endpoint, double rate, KnlTime named_at);
 
-/** Somebody tells how many requests were sent there since it named a limit. */
+/** Handles a report of how many requests were sent there since it advertised a limit. */
 void sv_endpoint_note_told_sends (SvEndpoint *endpoint, const SvToldSends *told);
 
-/** Whether peers are to be told of its limit, or that it has none any more. */
+/** Whether its limit, or that it was lifted recently, is to be announced to peers. */
 gboolean sv_endpoint_tells_limit (const SvEndpoint *endpoint, KnlTime now);
 
-/** How long until it takes a request from this instance, by its own word: until it has rested, and
- * its limit lets one through; 0: now. */
+/** Time until its advertised Retry-After and limit permit a request of this instance; 0: now. */
 KnlTime sv_endpoint_wait (const SvFleet *fleet, SvEndpoint *endpoint, KnlTime now);
 
-/** An answer that reports a failure of the endpoint's own. */
+/** Records an answer that reports a failure of the endpoint itself. */
 void sv_endpoint_note_error (SvEndpoint *endpoint, KnlTime now);
 
-/** It could not be reached, broke off, or said nothing. */
+/** Records that it could not be reached, closed the connection, or was silent for too long. */
 void sv_endpoint_note_loss (SvEndpoint *endpoint, KnlTime now);
--- a/include/serve/meters.h
+++ b/include/serve/meters.h
@@ -7,14 +7,14 @@
 
 typedef struct SvMeters SvMeters;
 
-/** A request that has ended. Times in microseconds; 0: did not come to that. */
+/** A request that has ended. Times are in microseconds. */
 typedef struct
 {
   const char *workspace;
-  const char *route_class; /**< "idempotent", "once", or by prompt length */
+  const char *route_class; /**< "idempotent", "at-most-once", "none", or by prompt length */
   const char *outcome;
-  KnlTime first; /**< from the request to the first event or the answer */
-  KnlTime total;
+  KnlTime first; /**< from the request to the first event or the answer; 0: there was none */
+  KnlTime total; /**< from the request to its end */
 } SvMeasured;
 
 SvMeters *sv_meters_new (CmMetrics *metrics);
@@ -22,11 +22,11 @@
 
 void sv_meters_note_request (SvMeters *meters, const SvMeasured *measured);
 
-/** A send to an endpoint, by how it ended. */
+/** Counts a send to an endpoint by its result. */
 void sv_meters_note_send (SvMeters *meters, const char *service, const char *result);
 
-/** A send to an endpoint that names a limit. */
+/** Counts a send to an endpoint that advertises a limit. */
 void sv_meters_note_limited_send (SvMeters *meters, const char *service);
 
-/** What the model expected of a first event, and what was seen. */
+/** Records the error of the model's estimate of the time from the send to the first event. */
 void sv_meters_note_prediction (SvMeters *meters, KnlTime expected, KnlTime seen);
--- a/serve/admission.c
+++ b/serve/admission.c
@@ -1,16 +1,17 @@
-/** From the reception of a request to its admission: who asks, for what, and whether it may run. */
+/** Admission of a request: finds its route and workspace, and decides whether it may run. */
 
 #include <string.h>
 #include <xxhash.h>
 
 #include "serve/core_internal.h"
 
-/* Of the grace after the order to stop, the part in which streams are still taken: later ones
- * could not end within it. */
+/* Fraction of the grace after the order to stop in which new streams are still admitted; later
+ * ones could not end within the grace. */
 #define DRAIN_STREAM_PART 0.35
 
-/* Refuses for what the configuration lacks, which only holds while it is known to be the newest:
- * a route or key that was just added must not be denied. */
+/* Refuses a request whose route or key isn't in the configuration. A definite error is returned
+ * only while the configuration is confirmed recently, as the route or key may just have been
+ * added. */
 static gboolean
 refuse_unknown (SvRequest *self, guint status, const char *reason)
 {
@@ -31,7 +32,7 @@
       sv_request_refuse (self, 503, "no-configuration");
       return FALSE;
     }
-  /* A route that was moved or taken away would be served as before, and a caller could not tell. */
+  /* Otherwise a moved or removed route would be served as before, unnoticed by the caller. */
   if (sv_core_is_outdated (self->core))
     {
       sv_request_refuse (self, 503, "configuration-outdated");
@@ -67,9 +68,10 @@
 }
 
 /*
- * A key that was taken away must not work a few seconds later, whatever this
- * instance has heard since. It trusts a key only for a bounded time after the
- * store last confirmed the configuration, counted from before it asked.
+ * A withdrawn key must stop working within seconds, even if this instance receives
+ * no update. Keys are therefore accepted only for a bounded time after the store
+ * last confirmed the configuration, counted from when the confirmation was
+ * requested.
  */
 static gboolean
 check_key (SvRequest *self)
--- a/serve/attempt.c
+++ b/serve/attempt.c
@@ -1,4 +1,4 @@
-/** What becomes of a send: its answer, its failure, and whether the request is sent again. */
+/** Handles the result of a send: answer, failure, and whether the request is sent again. */
 
 #include <string.h>
 #include <xxhash.h>
@@ -7,7 +7,7 @@
 #include "policy/retry.h"
 #include "serve/core_internal.h"
 
-/* Sends that certainly did not run and may come on top of a route's attempts. */
+/* Sends allowed beyond the route's max_attempts if they certainly did not run. */
 #define EXTRA_OFFERS 3
 
 static void
@@ -46,8 +46,9 @@
 }
 
 /*
- * A prompt whose first event has come has been read; one that was turned away or
- * given up before is not read. Entries for it would make its endpoints look busy.
+ * Called at the first event, when the prefill is complete, and when the send was
+ * rejected or cancelled before that. A prefill left registered would make its
+ * endpoints look busy.
  */
 void
 sv_request_end_read (SvRequest *self)
@@ -58,8 +59,8 @@
     return;
   self->is_reading = FALSE;
   sv_fleet_end_read (core->parts.fleet, self->read.prompt);
-  /* Peers take one that has been read in one part out by the clock: a word for each short prompt
-   * would double what is told. */
+  /* Peers let the prefill of an unsplit prompt expire by its expected time: announcing the end of
+   * each would double the number of announcements. */
   if (self->read.until_told || self->answer == NULL)
     core->parts.link->klass->read_ended (core->parts.link, self->read.prompt);
 }
@@ -88,7 +89,7 @@
   sv_request_charge (self, -1);
 }
 
-/* What was lost tells all instances, not only this one. */
+/* Records the loss in the shared health too, and announces it to the other instances. */
 static void
 tell_loss (const SvRequest *self)
 {
@@ -108,7 +109,7 @@
     link->klass->health_changed (link, self->placement.first, FALSE);
 }
 
-/* The exchange is over by itself. */
+/* Cleans up after an exchange that ended without being cancelled. */
 static void
 close_send (SvRequest *self, const char *result)
 {
@@ -174,7 +175,7 @@
 void
 sv_request_take_loss (SvRequest *self, const char *fault, gboolean ran)
 {
-  /* The budget counts arrivals, whether they ran or not. */
+  /* The retry budget counts all sends that arrive at endpoints, whether they run or not. */
   PolRetryRule rule = {
     .not_run_attempts = self->route->max_attempts + EXTRA_OFFERS,
     .run_attempts = self->route->max_attempts,
@@ -249,7 +250,7 @@
     g_string_append_len (self->answer->body, bytes, (gssize)length);
 }
 
-/* The endpoint promises that the request has not run. */
+/* Handles an answer in which the endpoint promises that the request has not run. */
 static void
 take_rejection (SvRequest *self)
 {
@@ -275,7 +276,8 @@
   sv_request_take_loss (self, "rejected", FALSE);
 }
 
-/* The endpoint reports a failure: kept, to be passed on when no better answer comes. */
+/* Handles an error answer of the endpoint; it is kept and forwarded if no retry gives a better
+ * one. */
 static void
 take_failure (SvRequest *self, const HtMessage *answer)
 {
@@ -286,7 +288,7 @@
   sv_request_take_loss (self, "endpoint-error", TRUE);
 }
 
-/* A stream that goes on at a second endpoint can't turn into another answer midway. */
+/* A resumed stream whose second endpoint sends an answer that isn't a stream can't continue. */
 static void
 take_whole (SvRequest *self, const HtMessage *answer)
 {
--- a/serve/config.c
+++ b/serve/config.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Taken as the pause that a stream bears whose route states none. */
+/* Gap objective assumed for a stream whose route has none. */
 #define LOOSE_GAP (1 * KNL_SEC)
 
 SvPause
@@ -168,7 +168,7 @@
   g_hash_table_replace (self->keys, g_strdup (key), workspace);
 }
 
-/* Prefixes end with a slash: only the beginnings of the path that do are looked up. */
+/* Prefixes of routes end with a slash, so only those prefixes of the path are looked up. */
 const SvRoute *
 sv_config_route (const SvConfig *self, const char *host, const char *path)
 {
--- a/serve/core.c
+++ b/serve/core.c
@@ -1,10 +1,11 @@
 #include "common/log.h"
 #include "serve/core_internal.h"
 
-/* Of this instance's share of a service's retries: see PolBudgetRule. */
+/* Fraction of this instance's share of a service's retry budget that it spends; see
+ * PolBudgetRule. */
 #define RETRIES_USED 0.75
 
-/* Two losses can be the bad luck of a sound request. */
+/* A harmless request can lose its endpoint twice by coincidence. */
 static const PolSuspectRule suspect_rule = { .refuse_at = 3, .life = 60 * KNL_SEC };
 
 void
@@ -32,7 +33,7 @@
   return self;
 }
 
-/* Ends each request by `end`, which takes it out of the table. */
+/* Calls `end` on each request; `end` must remove it from the table. */
 static void
 end_each (SvCore *self, void (*end) (SvRequest *request))
 {
@@ -140,9 +141,9 @@
 }
 
 /*
- * A prompt that waits for its turn, or runs longer than the grace, would find its
- * connection closed without a word when the process ends, and its caller could
- * not tell whether it ran.
+ * Without an answer from here, the connection of a prompt that is still queued, or
+ * runs longer than the grace, would just be closed when the process exits, and its
+ * caller could not tell whether it ran.
  */
 void
 sv_core_end_all (SvCore *self)
@@ -198,10 +199,10 @@
 }
 
 /*
- * An engine that went dark and started again leaves its connections open and
- * silent. Without this its requests would wait until they count as silent, which
- * takes some seconds for a long prompt, or, if they may run only once, until
- * their deadline.
+ * An engine that lost power or its network and then restarted leaves its old
+ * connections open and silent. Without this its requests would wait for the
+ * silence timeout, which is several seconds for a long prompt, or, if they may run
+ * only once, for their deadline.
  */
 void
 sv_core_note_replaced (SvCore *self, const SvEndpoint *endpoint)
--- a/serve/core_internal.h
+++ b/serve/core_internal.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** What the parts of the core share; nothing outside of it includes this. */
+/** Declarations shared by the core's own sources; not to be included by anything else. */
 
 #include "serve/core.h"
 #include "serve/events.h"
@@ -13,11 +13,11 @@
   SvCoreParts parts;
   SvBounds bounds;
   SvConfig *config;
-  KnlTime begun_at;              /* when this instance began to serve */
+  KnlTime begun_at;              /* when this instance started serving */
   KnlTime confirmed_at;          /* -KNL_NEVER: never */
-  SvOutdatedFunc outdated_since; /* NULL: nobody tells */
+  SvOutdatedFunc outdated_since; /* NULL: staleness isn't checked */
   gpointer outdated_data;
-  KnlTime drain_since;  /* 0: no drain */
+  KnlTime drain_since;  /* 0: not draining */
   GHashTable *requests; /* SvRequest */
   GHashTable *budgets;  /* service -> PolBudget */
   PolSuspects *suspects;
@@ -38,34 +38,34 @@
   KnlTime deadline;
   KnlTimerId deadline_timer;
   guint64 fingerprint;
-  guint offers;        /* sends, those that certainly did not run among them */
+  guint offers;        /* sends, including those that certainly did not run */
   guint runs;          /* sends that ran or may have run */
-  GPtrArray *excluded; /* SvEndpoint that failed it, each with a reference */
-  HtMessage
-      *failure; /* an endpoint's answer that reports a failure; passed on if no better comes */
+  GPtrArray *excluded; /* SvEndpoint that failed this request; holds references */
+  /* an endpoint's error answer, owned; forwarded if no later attempt gives a better one */
+  HtMessage *failure;
   const char *last_fault; /* why the last send failed; NULL: none has */
 
-  /* the send that is under way */
+  /* the current send */
   HtExchange *exchange;
   SvPlacement placement;
   SvReservation *reservation; /* NULL: none */
   KnlTime sent_at;
   KnlTimerId watch_timer;
   KnlTimerId defer_timer;
-  KnlTimerId move_timer; /* when it is to make way */
-  KnlTimerId hold_timer; /* of memory that is set aside and not used */
-  HtMessage *answer;     /* its head has come; owned by the exchange */
+  KnlTimerId move_timer; /* when it is to migrate */
+  KnlTimerId hold_timer; /* limits how long reserved memory may stay unused */
+  HtMessage *answer;     /* set once its head was received; owned by the exchange */
   SvReply reply;
-  SvRead read;         /* of its prompt, as entered in its endpoints */
-  gboolean is_reading; /* it is still entered */
+  SvRead read;         /* prefill of its prompt, as registered at its endpoints */
+  gboolean is_reading; /* `read` is still registered */
 
   /* the answer to the caller */
-  GString *fields; /* of the first endpoint's answer */
+  GString *fields; /* header fields of the first endpoint's answer */
   SvEvents events;
-  gint64 last_event; /* id of the last event passed on; -1: none */
-  KnlTime first_at;  /* when the first event or the answer went out; 0: not yet */
-  KnlTime last_at;   /* when an endpoint's last bytes came */
-  KnlTime event_at;  /* when the last event went out; 0: none has */
+  gint64 last_event; /* id of the last event forwarded; -1: none */
+  KnlTime first_at;  /* when the first event or the answer was sent; 0: not yet */
+  KnlTime last_at;   /* when bytes were last received from the endpoint */
+  KnlTime event_at;  /* when the last event was sent; 0: none was */
   KnlTime longest_gap;
 } SvRequest;
 
@@ -84,86 +84,90 @@
 
 /* core.c */
 
-/** Whether a newer configuration has been missing for longer than callers may be served without. */
+/** Whether a newer configuration has been known but missing for longer than the staleness bound;
+ * callers are refused then. */
 gboolean sv_core_is_outdated (const SvCore *core);
 
 /* admission.c */
 
-/** Runs all checks; FALSE: the request was refused and is gone. */
+/** Runs all admission checks. FALSE: the request was refused and freed. */
 gboolean sv_request_admit (SvRequest *self);
 
 /* send.c */
 
-/** Sends the request to an endpoint, or ends it. */
+/** Sends the request to an endpoint, defers the send, or ends (and frees) the request. */
 void sv_request_send (SvRequest *self);
 
-/** Where the request would go if it left `endpoint`; nothing changes. FALSE: nowhere. */
+/** Finds a placement for the request that excludes `endpoint`, without changing anything. FALSE: no
+ * endpoint has capacity for it. */
 gboolean sv_request_try_place (SvRequest *self, SvEndpoint *endpoint, SvPlacement *placement);
 
 /* move.c */
 
-/** A prompt is to be read at endpoints with these keys; `data` is the core. */
+/** SvFleetReadFunc: a prompt was placed for prefill at endpoints with these keys; `data` is the
+ * core. */
 void sv_core_note_read (const SvRead *read, const guint64 *keys, guint n, gpointer data);
 
 /* attempt.c */
 
-/** What becomes of the exchange with an endpoint; its data is the request. */
+/** Callbacks of the exchange with an endpoint; their data is the request. */
 extern const HtExchangeEvents sv_request_events;
 
-/** Enters the placed request in its endpoint's load, or with `sign` -1 takes it out. */
+/** Adds the placed request to its endpoint's load, or with `sign` -1 removes it. */
 void sv_request_charge (SvRequest *self, gint sign);
 
-/** Enters the reading of its prompt in its endpoints, here and at the peers. */
+/** Registers the prefill of its prompt at its endpoints, here and at the peers. */
 void sv_request_place_read (SvRequest *self);
 
-/** Takes it out, if it is still entered. */
+/** Removes the prefill again; no-op if it isn't registered. */
 void sv_request_end_read (SvRequest *self);
 
-/** Ends a request that is sent nowhere any more. */
+/** Ends a request that won't be sent again, with the best answer available. */
 void sv_request_give_up (SvRequest *self, const char *reason);
 
-/** Whether the service's retry budget has one left for this instance. */
+/** Whether the service's retry budget allows this instance another retry; doesn't spend it. */
 gboolean sv_request_retry_left (SvRequest *self);
 
-/** Closes the send that is under way. */
+/** Cancels the current send, its timers and its reservation; no-op if there is none. */
 void sv_request_stop_send (SvRequest *self);
 
-/** What becomes of a send that gave no answer; `ran`: it may have run. Sends again or ends. */
+/** Handles a send that gave no usable answer: retries it, or ends the request. `ran`: it may have
+ * run. */
 void sv_request_take_loss (SvRequest *self, const char *fault, gboolean ran);
 
 /* stream.c */
 
-/** Whether the answer that is coming is passed on event by event. */
+/** Whether the answer being received is forwarded event by event. */
 gboolean sv_request_is_streaming (const SvRequest *self);
 
 void sv_request_take_bytes (SvRequest *self, const char *bytes, gsize length);
 
-/** The endpoint's stream is complete, and so is the answer. */
+/** Ends the request: the endpoint's stream is complete. */
 void sv_request_end_stream (SvRequest *self);
 
-/* finish.c: the only ways for a request to end */
+/* finish.c: the only ways for a request to end; each frees it */
 
-/** An answer of our own that promises that the request has not run. */
+/** Answers on this instance's behalf, with the promise that the request has not run. */
 void sv_request_refuse (SvRequest *self, guint status, const char *reason);
 
-/** An answer of our own that promises nothing, or the end of a begun answer. */
+/** Answers on this instance's behalf without that promise; aborts an answer that has begun. */
 void sv_request_fail (SvRequest *self, guint status, const char *reason);
 
-/** Passes a whole answer of an endpoint on. */
+/** Forwards a complete answer of an endpoint. */
 void sv_request_pass (SvRequest *self, const HtMessage *answer);
 
-/** Ends a stream whose last event has been passed on. */
+/** Ends a stream whose last event has been forwarded. */
 void sv_request_complete_stream (SvRequest *self);
 
-/** The caller has left. */
+/** The caller has disconnected. */
 void sv_request_gone (SvRequest *self);
 
-/** The process ends before the request. */
+/** The process exits before the request has ended. */
 void sv_request_stop (SvRequest *self);
 
 /* core.c */
 
-/** How long ago the configuration was last known to be the newest; KNL_NEVER: it never was. */
+/** Time since the configuration was last confirmed to be the newest; KNL_NEVER: it never was. */
 KnlTime sv_core_config_age (const SvCore *core);
 
 PolBudget *sv_core_budget (SvCore *core, const char *service);
--- a/serve/endpoint.c
+++ b/serve/endpoint.c
@@ -1,33 +1,33 @@
-/** What is known of one endpoint. */
+/** State of one endpoint: its load, and its health. */
 
 #include "common/log.h"
 #include "serve/fleet.h"
 
-/* An endpoint that was lost is tried again soon, since one that restarts is back in seconds. One
- * error, or some, are a matter of the requests. */
+/* Backoff after losses is short, since a restarting endpoint is back within seconds. Fewer
+ * consecutive errors than `errors` are attributed to the requests, not to the endpoint. */
 static const PolHealthRule health_rule = { .first = 400 * KNL_MSEC,
                                            .limit = 4 * KNL_SEC,
                                            .errors = 4 };
 
-/* Told losses: two instances within this have seen what one alone may only believe. The rests are
- * those of `health_rule`. */
+/* Reported losses count when two instances report one within the window; a single reporter may have
+ * a fault of its own. The backoff is the same as in `health_rule`. */
 static const PolBeliefRule belief_rule = { .sources = 2,
                                            .window = 2 * KNL_SEC,
                                            .first = 400 * KNL_MSEC,
                                            .limit = 4 * KNL_SEC };
 
-/* An answer of our own speaks louder than what others tell for this long. */
+/* For this long after an answer to this instance, losses that others report are ignored. */
 #define OWN_WORD (1 * KNL_SEC)
 
-/* An endpoint that helps as many prompts as it has slots rejects the next one, and is free again
- * within some passes. */
+/* A helper that has as many prompts as slots rejects the next one, and has free slots again within
+ * a few forward passes. */
 static const PolHealthRule helping_rule = { .first = 100 * KNL_MSEC, .limit = 2 * KNL_SEC };
 
-/* Of its slots, those that are not filled with parts: what other instances place is known a few ms
- * later. */
+/* Slots that are kept free of helper work, as placements by other instances are known only a few
+ * ms later. */
 #define HELP_SPARE 2
 
-/* How long an endpoint's own report of its load is used. */
+/* Age up to which an endpoint's own report of its load is used. */
 #define REPORT_LIFE (200 * KNL_MSEC)
 
 guint
@@ -67,7 +67,7 @@
 {
   if (self->state != SV_ENDPOINT_READY || pol_health_is_suspended (&self->health, now))
     return FALSE;
-  /* After a loss one request goes first, and the others when it has an answer. */
+  /* After a loss only one request at a time is sent there, until one is answered. */
   return self->health.losses == 0 || self->own.calls == 0;
 }
 
@@ -195,10 +195,10 @@
 }
 
 /*
- * Instances that are cut off from each other, or have just started, don't see
- * each other's requests and would fill the same endpoint over and over. What an
- * endpoint itself reports shows those requests; it is used only while it is new,
- * since all instances follow an old report to the same endpoint.
+ * Instances that are cut off from each other, or have just started, don't know of
+ * each other's requests and would keep filling the same endpoint. An endpoint's own
+ * report includes those requests. It is used only while it is recent, since an old
+ * report would lead all instances to the same endpoint.
  */
 void
 sv_endpoint_note_report (SvEndpoint *self, guint calls, KnlTime now)
@@ -213,7 +213,7 @@
   SvLoad load = self->own;
 
   add_load (&load, &self->others, 1);
-  /* Not added: what peers tell meanwhile is in the report already. */
+  /* The maximum, not the sum: the report includes the requests that peers have announced. */
   if (now - self->reported_at < REPORT_LIFE)
     load.calls = MAX (load.calls, self->reported_calls);
   return load;
@@ -227,9 +227,10 @@
 }
 
 /*
- * A helper that is busy is not lost. Taken for lost it rested for all requests,
- * longer each time; what it would have served went to the others, which were
- * named next, until a few engines of many took all prompts of an instance.
+ * A busy helper has its own, shorter backoff. Counting this as a loss used to back
+ * the endpoint off for all requests, longer each time; its requests went to other
+ * endpoints, which became busy and were backed off next, until a few engines of
+ * many received all prompts of an instance.
  */
 void
 sv_endpoint_note_no_help (SvEndpoint *self, KnlTime now)
@@ -275,7 +276,7 @@
     return FALSE;
   if (pol_belief_is_suspended (&self->belief, now))
     return TRUE;
-  /* After a rest one request goes first, whoever sends it. */
+  /* After a backoff only one request at a time is sent there, by all instances together. */
   return self->belief.rests > 0 && self->own.calls + self->others.calls > 0;
 }
 
--- a/serve/endpoint_limit.c
+++ b/serve/endpoint_limit.c
@@ -1,9 +1,10 @@
-/** The limit that an endpoint names, and what others tell of it. */
+/** The request rate limit that an endpoint advertises, and what peers report of it. */
 
 #include "common/log.h"
 #include "serve/dialect.h"
 
-/* That an endpoint names no limit any more is told for this long: some whole datagrams. */
+/* How long it is announced that an endpoint's limit was lifted: several full datagrams are sent
+ * in that time. */
 #define LIFTED_TOLD (5 * KNL_SEC)
 
 gboolean
@@ -23,7 +24,7 @@
   return TRUE;
 }
 
-/* Only an answer with its signature is the endpoint's word that it needs a limit no more. */
+/* An answer without a limit lifts it only if the endpoint has signed the answer. */
 gboolean
 sv_reply_note_limit (const SvReply *self, SvEndpoint *endpoint, KnlTime at)
 {
@@ -52,8 +53,8 @@
   return NULL;
 }
 
-/* Another relay has counted the same requests from another moment on, and one that tells fewer than
- * before has begun anew. */
+/* Number of sends that the report adds. A new reporter has counted the same requests from another
+ * time on, so its first report adds none; a reporter whose count has fallen has restarted it. */
 static guint32
 new_sends (const SvToldSends *before, const SvToldSends *told)
 {
--- a/serve/endpoint_words.c
+++ b/serve/endpoint_words.c
@@ -1,4 +1,4 @@
-/** What endpoints say of themselves in their answers. */
+/** Signals that endpoints advertise in their answers: leaving, Retry-After, limit. */
 
 #include "common/log.h"
 #include "serve/dialect.h"
@@ -28,7 +28,7 @@
 gboolean
 sv_reply_note_words (const SvReply *self, SvEndpoint *endpoint, KnlTime at)
 {
-  /* Another endpoint has the address, and speaks of itself. */
+  /* The address now belongs to another endpoint, and the signals are about that one. */
   if (self->status == SV_STATUS_MISDIRECTED)
     return FALSE;
   note_leaving (self, endpoint, at);
--- a/serve/events.c
+++ b/serve/events.c
@@ -22,11 +22,11 @@
   g_string_truncate (self->text, 0);
 }
 
-/* Length of the first event with its empty line; 0: it is not complete. */
+/* Length of the first event with the empty line that ends it; 0: the event is incomplete. */
 static gsize
 event_length (const char *text, gsize length)
 {
-  gsize line = 0; /* bytes in the line, without its end */
+  gsize line = 0; /* bytes in the current line, without its line end */
 
   for (gsize i = 0; i < length; i++)
     {
--- a/serve/finish.c
+++ b/serve/finish.c
@@ -1,20 +1,22 @@
-/** How requests end: each has one answer, one log line, and leaves nothing behind. */
+/** Ends requests: each gets one answer and one log line, and is freed. */
 
 #include "common/log.h"
 #include "serve/core_internal.h"
 
-/* Callers are told to come back after this and up to as much again, at random, so that those
- * refused together don't come back together. */
+/* Shortest Retry-After of a refusal. A random factor of 1 to 2 keeps callers that were refused
+ * together from returning together. */
 #define RETRY_AFTER (150 * KNL_MSEC)
 
-/* The same where the endpoints are full, as part of the time that the caller has: a burst lasts for
- * seconds, and who comes back while it does finds them full again. Callers honour up to a third. */
+/* The same where the endpoints are full, as a fraction of the caller's remaining time: a burst
+ * lasts for seconds, and a caller that returns during it would be refused again. With the random
+ * factor it stays below a third of that time, which is the most that callers honour. */
 #define RETRY_AFTER_FULL_PART 0.16
 
-/* Of a request's time left, what it is told to wait at most: the rest is for its second try. */
+/* Largest Retry-After in other cases, as a fraction of the caller's remaining time: the rest is
+ * needed for its second try. */
 #define RETRY_AFTER_PART 0.2
 
-/* Prompts of so many tokens and more have a class of their own in the metrics. */
+/* Classes of requests with prompts in the metrics, by the least number of prompt tokens. */
 static const struct
 {
   guint64 tokens;
@@ -59,8 +61,8 @@
           core->confirmed_at > 0 ? now - core->confirmed_at : (gint64)-1);
 }
 
-/* Logged and counted before the caller has its answer: with that, its request and the names in it
- * are gone. */
+/* Must be called before the caller is answered: the answer frees the caller's request message and
+ * the strings in it. */
 static void
 note_end (const SvRequest *self, const SvOutcome *outcome)
 {
--- a/serve/fleet.c
+++ b/serve/fleet.c
@@ -5,16 +5,16 @@
 
 #include "common/log.h"
 
-/* Prompts kept for their end; beyond it those whose end was never told are swept, but only so
- * often: under load most are younger than SV_READ_LIFE, and each new one would look at all of them.
- */
+/* From READS_SWEPT registered prefills on, those older than SV_READ_LIFE, whose end was never
+ * reported, are removed. That is done at most once in SWEEP_INTERVAL: under load most are younger,
+ * and every new prefill would scan all of them. */
 #define READS_SWEPT    1024
 #define SWEEP_INTERVAL (SV_READ_LIFE / 4)
 
-/* Endpoints that read one prompt, at most. */
+/* Most endpoints that share the prefill of one prompt. */
 #define READERS_MOST 17
 
-/* Where a prompt is read. */
+/* The endpoints where the prefill of a prompt is placed. */
 typedef struct
 {
   guint64 prompt;
@@ -31,12 +31,12 @@
   GHashTable *by_key;   /* &key -> SvEndpoint */
   GHashTable *services; /* name -> GPtrArray of SvEndpoint by key */
   GPtrArray *all;
-  GHashTable *reads;    /* prompt -> PlacedRead; those that count until their end is told */
-  KnlTime swept_at;     /* when `reads` were swept last */
-  GHashTable *unlisted; /* ids that the list being read has not named yet */
+  GHashTable *reads;    /* prompt -> PlacedRead */
+  KnlTime swept_at;     /* when `reads` was last swept */
+  GHashTable *unlisted; /* ids not yet seen in the list being applied; NULL: no list is */
   guint known;          /* see sv_fleet_set_instances() */
   guint heard;
-  guint64 seed; /* another one at each instance */
+  guint64 seed; /* random, differs between instances */
   SvReplacedFunc on_replaced;
   gpointer on_replaced_data;
   SvFleetReadFunc on_read;
@@ -109,7 +109,8 @@
   endpoint->service = g_strdup (entry->service);
   endpoint->address = g_strdup (entry->address);
   endpoint->start = entry->start;
-  /* With the start in it, what peers tell of an earlier start is not taken for this one's. */
+  /* The key depends on the start, so that reports about an earlier start aren't applied to this
+   * one. */
   endpoint->key = XXH64 (entry->id, strlen (entry->id), entry->start);
   sv_reads_init (&endpoint->reads);
   pol_limit_init (&endpoint->limit);
@@ -146,10 +147,10 @@
 }
 
 /*
- * An endpoint that starts again may keep its id; it holds nothing of before.
- * Taken for the same one it would seem busy with reading and contexts that are
- * gone, rest for losses that were another's, and keep requests waiting for an
- * answer until they count as silent, seconds later.
+ * A restarted endpoint may keep its id but has lost all its state. If it were
+ * treated as the same one, it would seem busy with prefills and contexts that no
+ * longer exist, be backed off for losses of its earlier start, and its requests in
+ * flight would wait seconds for the silence timeout.
  */
 static void
 replace (SvFleet *self, SvEndpoint *endpoint)
@@ -169,7 +170,7 @@
 
   if (self->unlisted != NULL)
     g_hash_table_remove (self->unlisted, entry->id);
-  /* A list may be read from before a change that is known already. */
+  /* A list may have been read before a change that has been applied already. */
   if (endpoint != NULL
       && sv_position_compare (entry->revision, endpoint->revision) == SV_POSITION_OLDER)
     return;
@@ -185,7 +186,8 @@
   endpoint->zone = g_strdup (entry->zone);
   endpoint->slots = entry->slots;
   endpoint->is_unlisted = FALSE;
-  /* The list may lag behind its own word by as long as the store is away. */
+  /* The list may lag behind what the endpoint advertised, for as long as the store is unavailable.
+   */
   if (entry->draining || endpoint->said_leaving_at > 0)
     sv_endpoint_begin_leaving (endpoint, knl_kernel_now (self->kernel));
   else
@@ -193,10 +195,9 @@
 }
 
 /*
- * Entries lapse while the store is away although their endpoints live, and are
- * back within about two seconds. Dropping them at once would leave nothing to
- * send to; they stay as a last resort for the time that a leaving endpoint
- * serves on.
+ * While the store is unavailable, rows expire although their endpoints are alive;
+ * they are back within about two seconds. Dropping the endpoints at once would
+ * leave nothing to send to, so they are kept as a last resort for the leave grace.
  */
 void
 sv_fleet_remove (SvFleet *self, const char *id)
@@ -285,7 +286,8 @@
 {
   KnlTime now = knl_kernel_now (self->kernel);
 
-  /* Two instances may relay it for a moment, and an instance that starts is told of all. */
+  /* Duplicates are normal: two relays may forward it for a short time, and a newly started instance
+   * is sent all prefills. */
   if (g_hash_table_contains (self->reads, &read->prompt))
     return;
   for (guint i = 0; i < n; i++)
@@ -352,7 +354,8 @@
   self->heard = CLAMP (heard, 1, self->known);
 }
 
-/* Between 0 and 1, drawn anew after each request that is known of. */
+/* Pseudo-random number in [0, 1) that changes with each request counted against the limit; 0 if
+ * this is the only instance. */
 static double
 limit_spread (const SvFleet *fleet, const SvEndpoint *endpoint)
 {
@@ -366,7 +369,7 @@
 {
   PolLimitShare share;
 
-  /* Asked of every endpoint for every request. */
+  /* Called for every endpoint and request, so the common case returns early. */
   if (!pol_limit_is_named (&self->limit))
     return 0;
   share = (PolLimitShare){ .part = (double)fleet->heard / fleet->known,
--- a/serve/send.c
+++ b/serve/send.c
@@ -1,4 +1,4 @@
-/** Puts a request on its way to an endpoint: placed, with the memory that it needs, and watched. */
+/** Sends a request to an endpoint: places it, reserves the memory it needs, watches for silence. */
 
 #include <string.h>
 #include <xxhash.h>
@@ -7,50 +7,53 @@
 #include "serve/core_internal.h"
 #include "serve/defer.h"
 
-/* Zones are a few ms apart; no connection after this means that nobody is there. */
+/* Round trips between zones take a few ms; an endpoint that takes this long is unreachable. */
 #define CONNECT_TIMEOUT (300 * KNL_MSEC)
 
-/* A kept connection that was idle for longer may have been dropped by the other side unnoticed.
- * What may run twice risks that, what may not takes a connection that was just in use. */
+/* Longest idle time of a kept connection that is reused. After a longer one the endpoint may have
+ * closed it unnoticed. A request that may run only once must not risk that, so it uses only
+ * connections that were in use a moment ago. */
 #define REUSE_IDLE      (8 * KNL_SEC)
 #define REUSE_IDLE_ONCE (1 * KNL_SEC)
 
-/* A request whose caller waits for at least this part of the route's timeout was not refused
- * before. */
+/* A request whose caller waits for at least this fraction of the route's timeout is taken for its
+ * first try; a caller that was refused returns with less time left. */
 #define FIRST_TRY_PART 0.95
 
-/* Urgencies at endpoints, 0 first and 9 last: the first five for what is on time, the others for
- * what is late. */
+/* Urgencies at endpoints, from 0 (first) to 9 (last): 0 to 4 for requests that can meet their
+ * objective, 5 to 9 for late ones. */
 #define URGENCY_USUAL_MOST 4
 #define URGENCY_LATE       5
 #define URGENCY_MOST       9
 
-/* With less time left than this, nothing is sent. */
+/* A request with less time than this to its deadline isn't sent. */
 #define LEAST_LEFT (5 * KNL_MSEC)
 
-/* An endpoint is taken to be lost when a request that may run again has no answer after this many
- * of its objective, and a stream that has begun when it pauses for so many of its gap objective. */
+/* An endpoint is considered lost when an idempotent request there is silent for too long: without
+ * an answer for SILENCE_OBJECTIVES times its objective (for prompts, SILENCE_EXPECTED times the
+ * objective and the expected time), or, once its stream has begun, without an event for
+ * SILENCE_GAPS times its gap objective. Each has a minimum. */
 #define SILENCE_OBJECTIVES 2.5
 #define SILENCE_EXPECTED   2.0
 #define SILENCE_GAPS       4.0
 #define SILENCE_LEAST      (250 * KNL_MSEC)
 #define SILENCE_GAP_LEAST  (1 * KNL_SEC)
 
-/* A silent one is looked at again after this when no retry was left: a slice of the budget's window
- * of ten seconds has passed by then, or a stream has gone on. */
+/* Delay until the next check of a silent endpoint when no retry was left. By then a slice of the
+ * budget's window of ten seconds has passed, or the stream may have continued. */
 #define WATCH_AGAIN (500 * KNL_MSEC)
 
-/* One that answers others within the last while is not dark, and its queue may hold a request for
- * so many times as long. */
+/* An endpoint that answered any request within SILENCE_HEARD is alive, and may have the silent
+ * request in its queue; that request then gets up to SILENCE_QUEUED times the silence limit. */
 #define SILENCE_HEARD  (600 * KNL_MSEC)
 #define SILENCE_QUEUED 4
 
-/* Prompts at all instances wait for the same engines, and see the same moment at which these have
- * read enough; a random part of their wait, as a part of the objective, keeps them from going all
- * at once. What one places is known to the others after some 5 ms. */
+/* Prompts deferred at all instances wait for the same engines, and would be sent at the same
+ * moment. A random delay of up to this fraction of the objective spreads them; a placement by one
+ * instance is known to the others after about 5 ms. */
 #define DEFER_SPREAD_PART 0.025
 
-/* How long the endpoint may say nothing from now on. */
+/* How long the endpoint may be silent. */
 static KnlTime
 silence_limit (const SvRequest *self)
 {
@@ -65,9 +68,9 @@
 }
 
 /*
- * An endpoint that is dark or cut off sends nothing, and its connection stays
- * open; without this the request would wait until its deadline. Only requests
- * that may run again are taken away from a silent endpoint.
+ * An endpoint that has lost power or its network sends nothing, and its connection
+ * stays open; without this the request would wait until its deadline. Only
+ * idempotent requests are withdrawn from a silent endpoint.
  */
 static void
 on_watch (gpointer data)
@@ -76,8 +79,8 @@
   KnlTime since = MAX (self->sent_at, self->last_at);
   KnlTime left = since + silence_limit (self) - sv_request_now (self);
 
-  /* Reading that is known to be under way there explains a pause, and so does a queue: an endpoint
-   * that answers other requests is not dark. */
+  /* Prefills known to be running there explain a gap, and so does a queue: an endpoint that answers
+   * other requests is alive. */
   left += sv_endpoint_read_left (self->placement.first, sv_request_now (self));
   if (left <= 0 && sv_request_now (self) - since < SILENCE_QUEUED * silence_limit (self))
     left = self->placement.first->heard_at + SILENCE_HEARD - sv_request_now (self);
@@ -89,7 +92,7 @@
     }
   if (self->runs + 1 >= self->route->max_attempts)
     return;
-  /* It may be slow and not dark: what it has made is not thrown away for nothing. */
+  /* The endpoint may just be slow: its work isn't discarded unless the request can be retried. */
   if (!sv_request_retry_left (self))
     {
       self->watch_timer = knl_timer_start (self->core->parts.kernel, WATCH_AGAIN, on_watch, self);
@@ -150,7 +153,7 @@
   return find_place (self, excluded, placement) && !placement->is_full;
 }
 
-/* A caller that was refused comes back with less time than the route allows. */
+/* A caller that was refused before returns with less time than the route allows. */
 static gboolean
 is_first_try (const SvRequest *self)
 {
@@ -158,7 +161,7 @@
          && self->ask.limit >= (KnlTime)(FIRST_TRY_PART * (double)self->route->timeout);
 }
 
-/* Its first event can't count in full any more, and has not gone out. */
+/* Its first event has not been sent and is expected to miss the objective. */
 static gboolean
 is_late (const SvRequest *self)
 {
@@ -169,9 +172,9 @@
 }
 
 /*
- * Engines admit the most urgent first. What is late already goes behind all that
- * is not, since it has little left to lose; within each of the two the declared
- * priorities decide.
+ * Engines admit the most urgent first. Late requests go behind all others, as they
+ * have missed their objective anyway; within each group the configured priorities
+ * decide.
  */
 static guint
 urgency_of (const SvRequest *self)
@@ -234,7 +237,7 @@
   self->exchange = ht_client_send (self->core->parts.client, &exchange, &sv_request_events, self);
 }
 
-/* Why it went where it went, and how much was known of others' work there. */
+/* Logs the reasons for the placement, with the endpoint's load as known here. */
 static void
 log_send (const SvRequest *self)
 {
@@ -257,7 +260,7 @@
           self->reservation != NULL);
 }
 
-/* Puts the request on its way; it is placed, and has the memory that it needs. */
+/* Sends the request, which is placed and has its memory reserved. */
 static void
 launch (SvRequest *self)
 {
@@ -284,7 +287,8 @@
         knl_timer_start (self->core->parts.kernel, silence_limit (self), on_watch, self);
 }
 
-/* Orders about memory take a while, in which the endpoint may have asked for rest. */
+/* While the reservation was made, the endpoint advertised a Retry-After: places the request anew,
+ * without counting this send. */
 static void
 place_again (SvRequest *self)
 {
@@ -314,9 +318,9 @@
 }
 
 /*
- * An engine may keep a prompt waiting for its own memory while others hold theirs
- * for it. One would see memory of several engines taken for as long as its
- * caller waits, and shorter prompts refused there.
+ * An engine may keep a prompt queued for its own memory while the helpers hold
+ * reserved memory for it. Without this limit that memory would stay taken for as
+ * long as the caller waits, and shorter prompts would be refused there.
  */
 static void
 on_hold_due (gpointer data)
@@ -370,8 +374,8 @@
   return FALSE;
 }
 
-/* A long prompt whose caller leaves before it can be read would be read in vain, for seconds and
- * at the cost of others. */
+/* A long prompt whose deadline comes before its prefill can end isn't sent: the prefill would take
+ * seconds for nothing, at the cost of other requests. */
 static gboolean
 is_hopeless (const SvRequest *self)
 {
@@ -388,7 +392,7 @@
   sv_request_send (self);
 }
 
-/* FALSE: it goes now. */
+/* Starts a timer to place the request again. FALSE: it is to be sent now. */
 static gboolean
 defer (SvRequest *self)
 {
--- a/serve/stream.c
+++ b/serve/stream.c
@@ -1,4 +1,4 @@
-/** Streams are passed on in whole events, so that a broken one can go on at another endpoint. */
+/** Forwards streams in complete events, so that a broken one can resume at another endpoint. */
 
 #include "serve/core_internal.h"
 
@@ -31,7 +31,7 @@
   self->event_at = now;
 }
 
-/* The first event says that all parts have been read. */
+/* The first event shows that the prefill of all parts is complete. */
 static void
 note_read (SvRequest *self)
 {
@@ -48,7 +48,7 @@
   SvRequest *self = data;
 
   note_read (self);
-  /* A second run may begin before where the first was cut. */
+  /* A second run may repeat events that the first has already sent. */
   if (event->id >= 0 && event->id <= self->last_event)
     return;
   begin_answer (self);
