--- a/tests/unit/sv_config_test.c
+++ b/tests/unit/sv_config_test.c
@@ -1,4 +1,4 @@
-/** Which route a request takes. */
+/** Tests of the selection of a request's route. */
 
 #include <string.h>
 
@@ -51,7 +51,7 @@
     }
 }
 
-/* Guards against paths of thousands of slashes, each of which would be looked up. */
+/* Guards against paths of many slashes, for each of which a prefix would be looked up. */
 static void
 test_a_path_of_slashes_costs_no_more_than_the_longest_prefix (void)
 {
--- a/tests/unit/sv_core_test.c
+++ b/tests/unit/sv_core_test.c
@@ -1,4 +1,4 @@
-/** The core between a caller and endpoints that fail, over loopback, with the clock paused. */
+/** Tests of the core with a caller and failing endpoints, over loopback, with a paused clock. */
 
 #include <string.h>
 
@@ -8,7 +8,7 @@
 static const ScriptedAnswer good = { "HTTP/1.1 200 OK\r\n" SIGNED "Content-Length: 4\r\n\r\ngood",
                                      FALSE };
 
-/* One request to endpoints of which each but the last behaves as `first`, the last as `last`. */
+/* One request; the last endpoint answers `last`, all others answer `first`. */
 typedef struct
 {
   const char *name;
@@ -16,17 +16,16 @@
   guint n_endpoints;
   ScriptedAnswer first;
   ScriptedAnswer last;
-  const char *wanted;   /* in what the caller gets */
-  const char *unwanted; /* not in it; may be NULL */
-  guint requests;       /* that reach endpoints */
+  const char *wanted;   /* text the caller must receive */
+  const char *unwanted; /* text the caller must not receive; NULL: none */
+  guint requests;       /* requests that reach endpoints */
 } Row;
 
 /*
- * Symptom: a request that may run once has run twice; or one that has run is said not to have run;
- * or one that another endpoint would have answered fails.
- * Sequence: an endpoint breaks off, tears its answer, answers what is no answer, or rejects.
- * Cause: whether a request may have run was judged by something else than what left this instance
- * and what the endpoint said.
+ * Guards against at-most-once requests that run twice, requests that have run but are answered as
+ * not run, and requests that fail although another endpoint would have answered. It happens when an
+ * endpoint closes the connection, truncates its answer, sends an invalid answer, or rejects, and
+ * whether the request may have run isn't decided by the bytes sent and the endpoint's answer alone.
  */
 static const Row rows[] = {
   { "answered",
@@ -184,9 +183,9 @@
 }
 
 /*
- * Symptom: a stream ends early, or has an event twice, though another endpoint could go on.
- * Sequence: an endpoint stops in the middle of its third event.
- * Cause: pieces of events were passed on, or the second run began from the first event.
+ * Guards against streams that end early or repeat an event although another endpoint could resume
+ * them. An endpoint closes the connection within its third event; the fault was that parts of
+ * events were forwarded, or that the second run started from the first event.
  */
 static void
 test_broken_stream_goes_on (void)
@@ -221,9 +220,9 @@
 }
 
 /*
- * Symptom: a caller finds the head of another answer in the middle of its stream.
- * Sequence: a stream breaks off; the endpoint that is to go on answers something else.
- * Cause: that answer was passed on as if none had begun.
+ * Guards against the head of another answer in the middle of a stream. A stream breaks, and the
+ * endpoint that should resume it sends a different answer, which was forwarded as if none had
+ * begun.
  */
 static void
 test_broken_stream_is_not_mixed (void)
@@ -257,10 +256,9 @@
 }
 
 /*
- * Symptom: a request runs whose key was taken away more than the bound before.
- * Sequence: the store is cut off from this instance; the operator takes the key away.
- * Cause: keys were trusted without a bound, or the bound began with the store's answer in place of
- * the question.
+ * Guards against requests that run with a key withdrawn longer ago than the bound. This instance is
+ * cut off from the store when the operator withdraws the key; the fault was that keys were accepted
+ * without a bound, or that the bound was counted from the store's answer instead of the request.
  */
 static void
 test_keys_need_confirmation (void)
@@ -287,7 +285,8 @@
   sv_fixture_close (&fixture);
 }
 
-/* A key or route that is not known is denied only while nothing newer can be in force. */
+/* An unknown key or route gets a definite error only while no newer configuration can be in force.
+ */
 static void
 test_denied_only_when_certain (void)
 {
@@ -306,7 +305,7 @@
   sv_fixture_use_config (&fixture, 2, "key");
   sv_fixture_ask (&fixture, "/once/1");
   sv_fixture_wait_for (&fixture, "good");
-  /* An older configuration that comes late changes nothing. */
+  /* An older configuration that arrives late is ignored. */
   sv_fixture_use_config (&fixture, 1, "other");
   sv_fixture_ask (&fixture, "/once/1");
   sv_fixture_wait_for (&fixture, "good");
@@ -314,9 +313,9 @@
 }
 
 /*
- * Symptom: endpoints work on for callers that have left.
- * Sequence: a caller sends a request and the begin of its next one, and closes its connection.
- * Cause: reading stopped after the first request, so that the end was not seen.
+ * Guards against endpoints that keep working for disconnected callers. A caller sends a request and
+ * the start of its next one, and closes its connection; the end was missed because the instance
+ * stopped reading the connection after the first request.
  */
 static void
 test_leaving_caller_is_noticed (void)
@@ -338,9 +337,9 @@
 }
 
 /*
- * Symptom: requests of a less urgent route are served while more urgent ones wait at the endpoints.
- * Sequence: both come back after a refusal, so that both are late, and meet in one queue.
- * Cause: only lateness was told to endpoints; declared priorities decided nothing.
+ * Guards against requests of a less urgent route that run while more urgent ones are queued at the
+ * endpoints. Both are retried after a refusal, so that both are late, and share a queue; the
+ * urgency sent to endpoints showed only lateness and ignored the configured priorities.
  */
 static void
 test_priorities_are_told (void)
@@ -367,7 +366,7 @@
     }
 }
 
-/* The deadline ends a request with an answer; the endpoint was told what was left of it. */
+/* A request whose deadline passes is answered, and its endpoint was sent the time left. */
 static void
 test_deadline_is_answered (void)
 {
@@ -392,12 +391,12 @@
 
 static const SuiteCase cases[] = {
   { "endpoints that fail", test_endpoints_that_fail },
-  { "a broken stream goes on", test_broken_stream_goes_on },
+  { "a broken stream resumes", test_broken_stream_goes_on },
   { "a broken stream is not mixed", test_broken_stream_is_not_mixed },
   { "keys need confirmation", test_keys_need_confirmation },
   { "denied only when certain", test_denied_only_when_certain },
-  { "a leaving caller is noticed", test_leaving_caller_is_noticed },
-  { "priorities are told", test_priorities_are_told },
+  { "a caller's disconnection is noticed", test_leaving_caller_is_noticed },
+  { "priorities are sent to endpoints", test_priorities_are_told },
   { "the deadline is answered", test_deadline_is_answered },
 };
 
--- a/tests/unit/sv_ends_test.c
+++ b/tests/unit/sv_ends_test.c
@@ -1,4 +1,4 @@
-/** The core where an endpoint is silent, late or full, and where the process stops. */
+/** Tests of the core with silent, slow or rejecting endpoints, and with a stopping process. */
 
 #include <string.h>
 #include <sys/socket.h>
@@ -14,10 +14,9 @@
 };
 
 /*
- * Symptom: streams that would have gone on are broken off, and their callers get nothing, while
- * engines are slow for a few seconds.
- * Sequence: an engine says nothing for longer than usual; no retry is left for this instance.
- * Cause: the stream was taken from its endpoint before anybody asked whether it may go to another.
+ * Guards against streams that are aborted, with nothing for their callers, while engines are slow
+ * for a few seconds. An engine is silent for longer than usual and this instance has no retry left;
+ * the send was cancelled before checking that the stream may be sent to another endpoint.
  */
 static void
 test_silent_endpoint_is_kept_without_a_retry (void)
@@ -49,7 +48,7 @@
   sv_fixture_close (&fixture);
 }
 
-/* A dark endpoint's request is taken to another one when it may run again. */
+/* An idempotent request at a silent endpoint is sent to another one. */
 static void
 test_silent_endpoint_is_left (void)
 {
@@ -69,9 +68,8 @@
 }
 
 /*
- * Symptom: the next caller gets bytes that belong to nobody's request.
- * Sequence: an endpoint sends more after a complete answer; its connection is used again.
- * Cause: connections with bytes left over were kept.
+ * Guards against stray bytes in the answer to the next caller. An endpoint sends more bytes after a
+ * complete answer; its connection was kept and reused all the same.
  */
 static void
 test_left_over_bytes (void)
@@ -105,11 +103,11 @@
 }
 
 /*
- * Symptom: a request that must run once is answered 503, which promises that it has not run, or is
- * sent to a second endpoint; the first one has run it. Seen once, with 300 instances.
- * Sequence: a new connection stands and the request's bytes leave; the process is busy, and the
- * limit of connecting passes before the word that the connection stands is handled.
- * Cause: the limit was taken to say that no connection was made, and that no byte has left.
+ * Guards against an at-most-once request that an endpoint has run, but that is answered 503, which
+ * promises that it has not run, or is sent to a second endpoint. A new connection is established
+ * and the request's bytes are sent; the process is busy, and the connect timeout fires before the
+ * connection event is handled. The timeout was taken as proof that no byte was sent. Seen with 300
+ * instances.
  */
 static void
 test_late_word_of_a_connection (void)
@@ -132,7 +130,8 @@
       sv_fixture_ask (&fixture, paths[i]);
       while (ht_client_n_opened (fixture.client) == 0)
         event_base_loop (fixture.base, EVLOOP_ONCE);
-      /* Ready after the connection, so handled after its bytes have left and before its word. */
+      /* Becomes readable after the connection, so it is handled after the request's bytes were sent
+       * and before the connection event. */
       CU_ASSERT_EQUAL (write (pair[1], "x", 1), 1);
       sv_fixture_wait_for (&fixture, "good");
       CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "HTTP/1.1 200"));
@@ -144,7 +143,7 @@
     }
 }
 
-/* While stopping, what was read is answered, with a word that the connection ends. */
+/* While the process stops, requests are still answered, with "Connection: close". */
 static void
 test_stopping (void)
 {
@@ -163,9 +162,8 @@
 }
 
 /*
- * Symptom: connections end without an answer when an instance is stopped.
- * Sequence: a request still runs, or waits for its turn, when the grace is nearly over.
- * Cause: the process ended without a word to it.
+ * Guards against connections that are closed without an answer when an instance stops: a request is
+ * still running or queued when the grace is nearly over, and the process exits.
  */
 static void
 test_stopped_requests_are_answered (void)
@@ -185,6 +183,7 @@
   sv_fixture_close (&fixture);
 }
 
+/* An endpoint that has rejected a request gets the next one. */
 static void
 test_rejections_do_not_stick (void)
 {
@@ -209,7 +208,7 @@
 
 static const SuiteCase cases[] = {
   { "a silent endpoint is kept without a retry", test_silent_endpoint_is_kept_without_a_retry },
-  { "the late word of a connection", test_late_word_of_a_connection },
+  { "a connection event handled after the timeout", test_late_word_of_a_connection },
   { "a silent endpoint is left", test_silent_endpoint_is_left },
   { "left-over bytes", test_left_over_bytes },
   { "stopping", test_stopping },
--- a/tests/unit/sv_fixture.c
+++ b/tests/unit/sv_fixture.c
@@ -5,7 +5,7 @@
 
 #include "platform/dialect.h"
 
-/* No event for this long means that the test has failed, not that the machine is slow. */
+/* Time limit of a test, long enough that a slow machine doesn't exceed it. */
 #define STUCK_S 20
 
 static void
@@ -65,7 +65,7 @@
 static void
 on_stuck (evutil_socket_t fd, short what, void *data)
 {
-  g_error ("nothing happens any more");
+  g_error ("test did not finish in time");
 }
 
 static void
@@ -101,7 +101,7 @@
   sv_config_add_route (config, route);
 }
 
-/* Long prompts, whose streams bear pauses. */
+/* A route for long prompts, whose streams tolerate gaps of up to 1 s. */
 static void
 add_long_route (SvConfig *config)
 {
@@ -168,7 +168,7 @@
   parts = (SvCoreParts){ self->kernel,  self->client, self->dialect, self->fleet, &alone,
                          self->metrics, "a" };
   self->core = sv_core_new (&parts, &bounds);
-  /* A new instance has no slack for retries yet. */
+  /* A new instance has no slack in its retry budget yet; it has after one window. */
   knl_paused_clock_advance (self->clock, bounds.retries.window);
   for (guint port = 20000; self->front == NULL; port++)
     {
@@ -187,7 +187,7 @@
   *self = (SvFixture){ .base = event_base_new (), .clock = knl_paused_clock_new () };
   self->stuck = evtimer_new (self->base, on_stuck, NULL);
   evtimer_add (self->stuck, &limit);
-  /* The clock's zero is a time at which nothing has happened yet. */
+  /* Time 0 means "never" in many fields, so the test starts later. */
   knl_paused_clock_advance (self->clock, 100 * KNL_SEC);
   self->kernel = knl_kernel_new (knl_paused_clock_runtime (self->clock), 5);
   self->got = g_string_new (NULL);
@@ -206,7 +206,6 @@
   use_config (self, version, "key", spec);
 }
 
-/* An endpoint in the fleet; the ones added first are chosen first where nothing else decides. */
 void
 sv_fixture_add_endpoint (SvFixture *self, const ScriptedAnswer *script, guint n)
 {
@@ -300,7 +299,6 @@
   sv_fixture_send (self, request);
 }
 
-/* Runs the loop until the caller has got `text`. */
 void
 sv_fixture_wait_for (SvFixture *self, const char *text)
 {
--- a/tests/unit/sv_fixture.h
+++ b/tests/unit/sv_fixture.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/** The core between one caller and scripted endpoints, over loopback, with the clock paused. */
+/** Fixture with the core between one caller and scripted endpoints, over loopback, with a paused
+ * clock. */
 
 #include <event2/bufferevent.h>
 
@@ -8,7 +9,7 @@
 #include "serve/core.h"
 #include "tests/fakes/scripted_endpoint.h"
 
-/** Fields that make an answer the endpoint's own. */
+/** Header fields that sign an answer as the endpoint's own. */
 #define SIGNED "X-Attempt-Id: %ID\r\nX-Server-Stamp: s\r\n"
 
 #define ENDPOINTS_MOST 3
@@ -34,37 +35,39 @@
   gboolean ended;
 } SvFixture;
 
-/** Ends the process when nothing happens for a while. */
+/** Opens the fixture. A timer aborts the process if the test takes too long. */
 void sv_fixture_open (SvFixture *self);
 void sv_fixture_close (SvFixture *self);
 
-/** Routes /once/, /once-of-two/, /again/ and /stream/ of the host "h"; `key` is the one that
- * callers have. */
+/** Sets a configuration with the routes /once/, /once-of-two/, /again/, /stream/ and /long/ of the
+ * host "h"; `key` is its only API key. */
 void sv_fixture_use_config (SvFixture *self, guint64 version, const char *key);
 
 /** An engine with few slots and little memory. */
 extern const SvEngineSpec sv_fixture_small_engine;
 
-/** The same, with the service's endpoints as engines of these figures. */
+/** The same, with the service's endpoints as engines with these figures, and the key "key". */
 void sv_fixture_use_engines (SvFixture *self, guint64 version, const SvEngineSpec *spec);
 
-/** An endpoint in the fleet; the ones added first are chosen first where nothing else decides. */
+/** Adds an endpoint to the fleet. Where nothing else decides, requests go to the endpoint added
+ * first. */
 void sv_fixture_add_endpoint (SvFixture *self, const ScriptedAnswer *script, guint n);
 
-/** Sends bytes on the caller's connection, which is opened when there is none. */
+/** Sends bytes on the caller's connection, opening it if needed. */
 void sv_fixture_send (SvFixture *self, const char *bytes);
 
-/** Sends a whole request with the key "key" and 4 s to wait. */
+/** Sends a full request with the key "key" and a deadline of 4 s; drops what was received before.
+ */
 void sv_fixture_ask (SvFixture *self, const char *path);
 
-/** The same for a prompt of so many tokens, with 15 s to wait. */
+/** The same for a prompt of `tokens` tokens, with a deadline of 15 s. */
 void sv_fixture_ask_prompt (SvFixture *self, const char *path, guint64 tokens);
 
-/** Runs the loop until the caller has got `text`, or its connection has ended. */
+/** Runs the loop until the caller has received `text`, or its connection has ended. */
 void sv_fixture_wait_for (SvFixture *self, const char *text);
 
-/** Runs the loop until `n` requests have come to that endpoint. */
+/** Runs the loop until the endpoint has received `n` requests. */
 void sv_fixture_wait_requests (SvFixture *self, guint endpoint, guint n);
 
-/** Requests that have come to all endpoints. */
+/** Number of requests received by all endpoints together. */
 guint sv_fixture_all_requests (const SvFixture *self);
--- a/tests/unit/sv_leaving_test.c
+++ b/tests/unit/sv_leaving_test.c
@@ -1,4 +1,4 @@
-/** Endpoints that say in their answers that they leave. */
+/** Tests of endpoints that advertise in their answers that they are leaving. */
 
 #include <string.h>
 
@@ -8,7 +8,7 @@
 #define ANSWER(fields) "HTTP/1.1 200 OK\r\n" SIGNED fields "Content-Length: 4\r\n\r\ngood"
 #define LEAVING        "Server-Leaving: 1\r\n"
 
-/* The fixture's fleet sends to what leaves for 1 s, where nothing else is left. */
+/* The leave grace of the fixture's fleet is 1 s: times within it and past it. */
 #define WITHIN (500 * KNL_MSEC)
 #define PAST   (1200 * KNL_MSEC)
 
@@ -24,7 +24,7 @@
                                                "Content-Length: 0\r\n\r\n",
                                                FALSE };
 
-/* What the list says of the first endpoint after its word. */
+/* Row of the first endpoint in a list that is applied after its answer; LIST_SILENT: no list. */
 typedef enum
 {
   LIST_SILENT,
@@ -37,10 +37,10 @@
   const char *name;
   const ScriptedAnswer *word; /* the first endpoint's first answer; later ones are good */
   gboolean has_other;         /* there is a second endpoint */
-  KnlTime after;
+  KnlTime after;              /* time between the two requests */
   List list;
-  guint at_first; /* requests that have come to the first endpoint at the end */
-  gboolean served;
+  guint at_first;  /* requests that the first endpoint received in all */
+  gboolean served; /* whether the second request is answered 200 */
 } Row;
 
 static void
@@ -85,21 +85,21 @@
   sv_fixture_close (&fixture);
 }
 
-/* Guards against requests to an endpoint that said that it leaves, which nobody answers when it has
- * ended. */
+/* Guards against requests to an endpoint that has advertised that it is leaving: they are lost when
+ * it exits. */
 static void
 test_who_says_that_it_leaves_gets_no_more (void)
 {
   static const Row rows[] = {
-    { "the other one is asked", &leaving, TRUE, 0, LIST_SILENT, 1, TRUE },
-    { "a failure says it", &leaving_fails, TRUE, 0, LIST_SILENT, 1, TRUE },
-    { "a rejection says it", &leaving_turns_away, TRUE, 0, LIST_SILENT, 1, TRUE },
-    { "the last one, at first", &leaving, FALSE, WITHIN, LIST_SILENT, 2, TRUE },
-    { "the last one, later", &leaving, FALSE, PAST, LIST_SILENT, 1, FALSE },
+    { "sent to the other endpoint", &leaving, TRUE, 0, LIST_SILENT, 1, TRUE },
+    { "in an error answer", &leaving_fails, TRUE, 0, LIST_SILENT, 1, TRUE },
+    { "in a rejection", &leaving_turns_away, TRUE, 0, LIST_SILENT, 1, TRUE },
+    { "only endpoint, within the grace", &leaving, FALSE, WITHIN, LIST_SILENT, 2, TRUE },
+    { "only endpoint, after the grace", &leaving, FALSE, PAST, LIST_SILENT, 1, FALSE },
     { "an older list", &leaving, TRUE, 0, LIST_READY, 1, TRUE },
-    { "an older list, later", &leaving, FALSE, PAST, LIST_READY, 1, FALSE },
+    { "an older list, after the grace", &leaving, FALSE, PAST, LIST_READY, 1, FALSE },
     { "another start", &leaving, FALSE, PAST, LIST_ANOTHER_START, 2, TRUE },
-    { "another endpoint's word", &another_leaves, FALSE, PAST, LIST_SILENT, 2, TRUE },
+    { "an answer by another endpoint", &another_leaves, FALSE, PAST, LIST_SILENT, 2, TRUE },
   };
 
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
@@ -107,7 +107,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "who says that it leaves gets no more", test_who_says_that_it_leaves_gets_no_more },
+  { "a leaving endpoint is sent no more requests", test_who_says_that_it_leaves_gets_no_more },
 };
 
 SUITE_MAIN ("sv_leaving", cases)
--- a/tests/unit/sv_limit_test.c
+++ b/tests/unit/sv_limit_test.c
@@ -1,4 +1,4 @@
-/** Endpoints that name how many requests they take. */
+/** Tests of endpoints that advertise a limit on their request rate. */
 
 #include <string.h>
 
@@ -26,7 +26,8 @@
   g_string_append_c (data, '\n');
 }
 
-/* An operator sees when an endpoint named a limit, when it ended, and which sends knew of it. */
+/* The log shows when an endpoint advertised a limit, when it was lifted, and which sends were made
+ * under it. */
 static void
 test_limits_are_logged (void)
 {
@@ -50,7 +51,7 @@
   sv_fixture_close (&fixture);
 }
 
-/* Guards against requests that wait, or run, where every endpoint has had what it takes. */
+/* Guards against requests that are queued or sent while the limits of all endpoints are used up. */
 static void
 test_what_no_limit_allows_is_refused (void)
 {
@@ -63,7 +64,7 @@
   sv_fixture_ask (&fixture, "/once/2");
   sv_fixture_wait_for (&fixture, "\r\n\r\n");
   CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "503"));
-  /* Two seconds for the next request, and up to 0.3 s that spread callers. */
+  /* Two seconds until the limit permits a request, and up to 0.3 s that spread the callers. */
   CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "Retry-After: 2."));
   CU_ASSERT_EQUAL (sv_fixture_all_requests (&fixture), 1);
   knl_paused_clock_advance (fixture.clock, 2001 * KNL_MSEC);
@@ -72,7 +73,7 @@
   sv_fixture_close (&fixture);
 }
 
-/* Guards against an endpoint that took nothing once, and is never asked again. */
+/* Guards against an endpoint that is never sent requests again after it advertised a limit of 0. */
 static void
 test_an_endpoint_that_takes_nothing_is_asked_again (void)
 {
@@ -97,7 +98,7 @@
   sv_fixture_close (&fixture);
 }
 
-/* Guards against second sends of a request that a limit does not count. */
+/* Guards against retries of a request that aren't counted against the limit. */
 static void
 test_second_sends_count (void)
 {
@@ -124,7 +125,7 @@
   sv_fixture_close (&fixture);
 }
 
-/* Guards against a limit of the endpoint that has another one's address now. */
+/* Guards against applying the limit of another endpoint that now has the address. */
 static void
 test_another_endpoints_limit_counts_for_nothing (void)
 {
@@ -146,12 +147,11 @@
 
 static const SuiteCase cases[] = {
   { "limits are logged", test_limits_are_logged },
-  { "what no limit allows is refused", test_what_no_limit_allows_is_refused },
-  { "an endpoint that takes nothing is asked again",
+  { "requests are refused when all limits are used up", test_what_no_limit_allows_is_refused },
+  { "an endpoint with a limit of 0 is tried again",
     test_an_endpoint_that_takes_nothing_is_asked_again },
   { "second sends count", test_second_sends_count },
-  { "another endpoint's limit counts for nothing",
-    test_another_endpoints_limit_counts_for_nothing },
+  { "another endpoint's limit is ignored", test_another_endpoints_limit_counts_for_nothing },
 };
 
 SUITE_MAIN ("sv_limit", cases)
--- a/tests/unit/sv_load_test.c
+++ b/tests/unit/sv_load_test.c
@@ -1,4 +1,5 @@
-/** Short beside long on engines that work in passes: the engines themselves, and the placement. */
+/** Tests of the simulated engines, which work in forward passes, and of the placement of short and
+ * long prompts on them. */
 
 #include "bench/policies.h"
 #include "kernel/paused.h"
@@ -22,7 +23,7 @@
   FkPassEngine *engines[3];
 } Fixture;
 
-/* When the first and the last event of a request came. */
+/* Times of the first and the last event of a request. */
 typedef struct
 {
   Fixture *fixture;
@@ -98,15 +99,15 @@
   fixture_open (&fixture);
   submit (&fixture, &alone, 0, 10000, 10, 0);
   knl_paused_clock_advance (fixture.clock, 300 * KNL_MSEC);
-  /* Ten chunks of 10 ms and their steps; then an event each pass of 50 steps. */
+  /* Prefill of ten chunks of 10 ms, and their steps; then an event in each pass of 50 steps. */
   CU_ASSERT (is_within (alone.first, 109, 111));
   CU_ASSERT (is_within (alone.last, 259, 261));
-  /* Another prompt is read inside a pass, which its reading makes longer. */
+  /* The prefill of a second prompt makes the pass that it is part of longer. */
   submit (&fixture, &beside, 0, 10000, 1, 0);
   knl_paused_clock_advance (fixture.clock, 400 * KNL_MSEC);
   CU_ASSERT (is_within (beside.first, 459, 461));
   CU_ASSERT_TRUE (beside.is_done);
-  /* Three engines read a third each. */
+  /* Each of three engines processes a third of the prompt. */
   submit (&fixture, &wide, 1, 30000, 1, 2);
   knl_paused_clock_advance (fixture.clock, KNL_SEC);
   CU_ASSERT_TRUE (wide.is_done && alone.is_done);
@@ -138,7 +139,7 @@
   fixture_close (&fixture);
 }
 
-/* Over some seeds, one after the other. */
+/* Mean of `earned` and sums of the other results over four seeds. */
 static BenchPolicyResult
 run (const char *policy, guint instances, double load)
 {
@@ -174,9 +175,10 @@
 }
 
 /*
- * Symptom: short answers come late, or pause, while long prompts are read on the same engines.
- * Sequence: load moves between many short and many long prompts every ten seconds.
- * Cause: prompts go to the engine with the fewest requests, whatever is read and written there.
+ * Guards against short prompts whose answers are late or have gaps while long prompts are in
+ * prefill on the same engines. The load changes between many short and many long prompts every ten
+ * seconds; the fault comes about when prompts go to the engine with the fewest requests, regardless
+ * of its prefill and decode load.
  */
 static void
 test_short_ones_do_not_wait_behind_long_ones (void)
@@ -191,9 +193,9 @@
 }
 
 /*
- * Symptom: many instances before one fleet serve worse than one would.
- * Sequence: each places prompts by what it knows of the others' requests and reading, some
- * milliseconds old. Cause: they are not told, or too late, and fill the same engines.
+ * Guards against many instances that serve one fleet worse than a single instance would. Each
+ * places prompts by the load and prefills that the others announced some milliseconds ago; if
+ * announcements are missing or late, they fill the same engines.
  */
 static void
 test_many_instances_are_like_one (void)
@@ -207,7 +209,7 @@
 static const SuiteCase cases[] = {
   { "engines work in passes", test_engines_work_in_passes },
   { "engines hold what fits", test_engines_hold_what_fits },
-  { "short ones do not wait behind long ones", test_short_ones_do_not_wait_behind_long_ones },
+  { "short prompts do not wait behind long ones", test_short_ones_do_not_wait_behind_long_ones },
   { "many instances are like one", test_many_instances_are_like_one },
 };
 
--- a/tests/unit/sv_rest_test.c
+++ b/tests/unit/sv_rest_test.c
@@ -1,4 +1,4 @@
-/** Endpoints that turn requests away and want nothing for a while. */
+/** Tests of endpoints that reject requests with a Retry-After. */
 
 #include <string.h>
 
@@ -68,7 +68,7 @@
     event_base_loop (self->base, EVLOOP_ONCE);
 }
 
-/* `word`: of the endpoint `speaker`, in its first answer. */
+/* Opens a fixture with three engines; `word` is the first answer of the endpoint `speaker`. */
 static void
 engines_open (SvFixture *self, guint speaker, const ScriptedAnswer *word)
 {
@@ -82,7 +82,7 @@
     sv_fixture_add_endpoint (self, i == speaker ? script : &stream, i == speaker ? 2 : 1);
 }
 
-/* The engine that a short prompt goes to first: decided by the hashes of their ids. */
+/* Index of the engine that a short prompt is sent to first; the hashes of their ids decide it. */
 static guint
 first_choice (void)
 {
@@ -97,7 +97,7 @@
   return first;
 }
 
-/* Guards against repeats that pile up at an engine that has asked for rest. */
+/* Guards against retries that pile up at an engine whose Retry-After has not passed. */
 static void
 test_who_wants_rest_gets_nothing_meanwhile (void)
 {
@@ -122,7 +122,8 @@
     }
 }
 
-/* Guards against requests that are sent, or wait, where all endpoints want rest. */
+/* Guards against requests that are sent, or queued, before the Retry-After of all endpoints has
+ * passed. */
 static void
 test_callers_are_told_when_the_rest_ends (void)
 {
@@ -141,8 +142,8 @@
   sv_fixture_close (&fixture);
 }
 
-/* Guards against a rest that another endpoint's word begins, or an answer to an earlier request
- * ends. */
+/* Guards against a Retry-After that is taken from another endpoint's answer, or ended early by the
+ * answer to an earlier request. */
 static void
 test_only_its_own_word_counts (void)
 {
@@ -162,9 +163,10 @@
 }
 
 static const SuiteCase cases[] = {
-  { "who wants rest gets nothing meanwhile", test_who_wants_rest_gets_nothing_meanwhile },
-  { "callers are told when the rest ends", test_callers_are_told_when_the_rest_ends },
-  { "only its own word counts", test_only_its_own_word_counts },
+  { "nothing is sent before the Retry-After has passed",
+    test_who_wants_rest_gets_nothing_meanwhile },
+  { "callers get the endpoint's Retry-After", test_callers_are_told_when_the_rest_ends },
+  { "only the endpoint's own Retry-After counts", test_only_its_own_word_counts },
 };
 
 SUITE_MAIN ("sv_rest", cases)
