--- a/include/serve/fleet.h
+++ b/include/serve/fleet.h
@@ -68,7 +68,7 @@
   gboolean is_replaced;    /**< its id now belongs to another start, service or address; only
                                 holders of a reference still see it */
 
-  SvLoad own;
+  SvLoad own;            /**< load of this instance */
   SvLoad others;         /**< sum of `peers` */
   SvLoad cells;          /**< the part of `others` that belongs to other cells */
   SvLoad told;           /**< load of this cell as last announced to other cells */
@@ -148,7 +148,7 @@
 /** The prefill of the prompt is complete or was abandoned. */
 void sv_fleet_end_read (SvFleet *fleet, guint64 prompt);
 
-/** A prompt in prefill; `read->length` is the time left for each part. */
+/** A prompt in prefill; its length is the time left for each part. */
 typedef void (*SvFleetReadFunc) (const SvRead *read, const guint64 *keys, guint n, gpointer data);
 
 /** Sets the callback for each newly registered prefill, from any instance; NULL: none. */
--- a/serve/send.c
+++ b/serve/send.c
@@ -12,7 +12,7 @@
 
 /* Longest idle time of a kept connection that is reused. After a longer one the endpoint may have
  * closed it unnoticed. A request that may run only once must not risk that, so it uses only
- * connections that were in use a moment ago. */
+ * connections used very recently. */
 #define REUSE_IDLE      (8 * KNL_SEC)
 #define REUSE_IDLE_ONCE (1 * KNL_SEC)
 
