--- a/include/serve/config.h
+++ b/include/serve/config.h
@@ -45,8 +45,8 @@
   double read_tokens_per_ms; /**< prefill speed */
   double pair_ms_per_m;      /**< prefill: time for a million pairs of a token and an earlier one */
   guint chunk;               /**< most prompt tokens of prefill in a step */
-  double usual_prompt;       /**< tokens, mean */
-  double usual_answer;       /**< tokens, mean */
+  double usual_prompt;
+  double usual_answer;
 } SvEngineSpec;
 
 typedef struct
@@ -104,7 +104,7 @@
   GPtrArray *workspaces;   /**< SvWorkspace */
   gboolean has_workspaces; /**< keys are required, except on public routes */
   SvCallerLimits limits;
-  KnlTime shortest_gaps[SV_N_PAUSES]; /**< smallest gap objective of the routes in each class */
+  KnlTime shortest_gaps[SV_N_PAUSES]; /**< smallest of the routes, by class */
 } SvConfig;
 
 SvConfig *sv_config_new (guint64 version);
