--- a/include/serve/awaited.h
+++ b/include/serve/awaited.h
@@ -1,28 +1,27 @@
 #pragma once
 
-/**
- * Configurations that peers have told of and this instance does not have yet:
- * since when it has gone without.
- */
+/** Configurations that peers have reported and this instance doesn't have yet, with the time since
+ * when each is missing. */
 
 #include "kernel/kernel.h"
 
 #define SV_AWAITED_MOST 16
 
-/** Zeroed at first. */
+/** Initialize with zeros. */
 typedef struct
 {
   struct
   {
     guint64 version;
-    KnlTime since;         /* a peer told of it for the first time */
-  } rows[SV_AWAITED_MOST]; /* by version */
+    KnlTime since;         /* time of the first report by a peer */
+  } rows[SV_AWAITED_MOST]; /* by rising version */
   guint n;
-  KnlTime told_at; /* that one of them was told of last */
+  KnlTime told_at; /* time of the last report of the newest one */
 } SvAwaited;
 
-/** A peer has this version, the own one being `own`. */
+/** Notes that a peer has `version`; `own` is the version in use here. */
 void sv_awaited_note (SvAwaited *self, guint64 own, guint64 version, KnlTime now);
 
-/** When a peer told first of a version that is newer than `own`; KNL_NEVER: none has lately. */
+/** Time of the first report of a version newer than `own`; KNL_NEVER if none was reported lately.
+ */
 KnlTime sv_awaited_since (const SvAwaited *self, guint64 own, KnlTime now);
--- a/include/serve/confirm.h
+++ b/include/serve/confirm.h
@@ -1,13 +1,13 @@
 #pragma once
 
 /**
- * Confirmations that the configuration in use is the newest, passed on between
- * instances, so that a few ask the store and all know.
+ * Confirmations that the configuration in use is the newest. They are passed on between instances,
+ * so that only a few need to query the store.
  *
- * What an answer proves is counted from when the question was sent, on the
- * asker's own clock, less the age that the answerer tells: whatever is late, held
- * up or frozen on the way only makes the confirmation older. Nobody's time of
- * day, and no clock but one's own, is trusted.
+ * An answer proves that the configuration was the newest at the time when its request was sent, by
+ * the requester's own clock, less the age that the answer states. A message that is delayed, or a
+ * process that is frozen, therefore only makes the confirmation older. Neither wall-clock times nor
+ * other instances' clocks are relied on.
  */
 
 #include "serve/peers.h"
@@ -16,27 +16,30 @@
 
 typedef struct
 {
-  /** Version of the configuration in use (0: there is none), and the store's era. */
+  /** Version of the configuration in use (0: there is none) and the store's era. */
   SvPosition (*version) (gpointer data);
-  /** When it was last known to be the newest; -KNL_NEVER: never. */
+  /** Time for which it was last known to be the newest; -KNL_NEVER: never. */
   KnlTime (*confirmed_at) (gpointer data);
-  /** It was the newest at that time. */
+  /** The configuration in use was the newest at that time. */
   void (*confirm) (KnlTime at, gpointer data);
-  /** A peer has a newer one, or nobody could confirm it in time: the store is to be asked now. */
+  /** A peer has a newer configuration, or no peer could confirm ours in time: the store must be
+   * queried now. */
   void (*ask_store) (gpointer data);
-  /** Revision of the newest change of the list of endpoints that has come, the revision up to which
-   * all changes have come, and when they were last answered for; now, while an answer arrives. */
+  /** Revision of the newest change of the endpoint list that was received; the revision up to which
+   * all changes were received; and the time of the last answer about them (now, while an answer is
+   * being received). */
   SvPosition (*endpoints) (gpointer data);
   SvPosition (*endpoints_known) (gpointer data);
   KnlTime (*endpoints_heard_at) (gpointer data);
-  /** A peer knows of a newer one, that we should have been told of. */
+  /** A peer has a newer endpoint list, which should have reached this instance already. */
   void (*ask_endpoints) (gpointer data);
-  /** The same for configurations. */
+  /** The same two for configurations. */
   KnlTime (*config_heard_at) (gpointer data);
   void (*ask_config) (gpointer data);
 } SvConfirmEvents;
 
-/** `trust`: how old a confirmation may be while it is relied on; KNL_NEVER: nothing is asked. */
+/** `trust`: maximum age of a confirmation that is relied on; KNL_NEVER: no requests are sent.
+ * `events` isn't copied. */
 SvConfirm *sv_confirm_new (KnlKernel *kernel,
                            SvPeers *peers,
                            KnlTime trust,
@@ -44,20 +47,19 @@
                            gpointer data);
 void sv_confirm_free (SvConfirm *confirm);
 
-/** There may be another configuration in use, not by an answer of the store: it may have been
- * confirmed already; else a peer is asked at once. */
+/** To be called when the configuration in use may have changed other than by an answer of the
+ * store. It is confirmed if a proof is known already; else, if it was never confirmed, a peer is
+ * queried at once. */
 void sv_confirm_note_config (SvConfirm *confirm);
 
-/**
- * Whether the store, as of `at`, lacks a configuration that a peer had told of
- * before, with a higher version than that in use. It has lost it then, and with
- * it perhaps that a key was withdrawn; the operator writes it again.
- */
+/** Whether the store, in an answer for the time `at`, lacks a configuration that a peer had
+ * reported before and whose version is higher than that in use. The store has then lost it, and
+ * possibly the withdrawal of a key with it; the operator writes it again. */
 gboolean sv_confirm_lacks_config (const SvConfirm *confirm, KnlTime at);
 
-/** When a peer told first of a configuration that is newer than that in use; KNL_NEVER: none has.
- */
+/** Time of the first report by a peer of a configuration newer than that in use; KNL_NEVER if there
+ * is none. */
 KnlTime sv_confirm_outdated_since (const SvConfirm *confirm);
 
-/** Whether this instance is one of those that ask the store often. */
+/** Whether this instance is one of those that poll the store for their cell. */
 gboolean sv_confirm_asks_store (const SvConfirm *confirm);
--- a/include/serve/peers.h
+++ b/include/serve/peers.h
@@ -1,14 +1,13 @@
 #pragma once
 
 /**
- * The other instances of the system: who they are, whether they live, and what
- * they have in flight. Datagrams over UDP; nothing depends on one arriving.
+ * The other instances of the system: which exist, which are alive, and what load they have in
+ * flight. They exchange UDP datagrams, any of which may be lost.
  *
- * The instances of one availability zone are a cell. They tell each other all
- * they have in flight; of other cells each knows what all their instances have
- * in flight together. The strongest instance of a cell is its relay: it tells
- * the relays of other cells its cell's sums, and passes theirs on. So a change
- * crosses between two zones once, whatever the number of instances there.
+ * The instances of one availability zone form a cell. Within a cell each instance announces all its
+ * load in flight; of other cells it knows only the sums. The strongest instance of a cell is its
+ * relay: it announces its cell's sums to the relays of other cells and forwards theirs to its own
+ * cell. A change thus crosses between two zones once, whatever the number of instances there.
  */
 
 #include <event2/event.h>
@@ -25,73 +24,74 @@
   const char *callers_address;
   const char *zone;
   const char *region;
-  guint strength; /**< thousandths of a core; the strongest instances work for the others */
+  guint strength; /**< thousandths of a core; the strongest become relay and followers */
 } SvMember;
 
-/** A peer reports a request that crashes endpoints. */
+/** Called when a peer reports the fingerprint of a request that crashes endpoints. */
 typedef void (*SvPeerSuspectFunc) (guint64 fingerprint, gpointer data);
 
-/** Binds `self->link_address`; strings are copied. NULL: it can't be bound, errno is set. */
+/** Binds the UDP socket to `self->link_address`; strings are copied. Returns NULL with errno set if
+ * it can't be bound. */
 SvPeers *
 sv_peers_new (KnlKernel *kernel, struct event_base *base, SvFleet *fleet, const SvMember *self);
 void sv_peers_free (SvPeers *peers);
 
 void sv_peers_on_suspect (SvPeers *peers, SvPeerSuspectFunc func, gpointer data);
 
-/** The link that the core reports to; owned by the peers. */
+/** The link through which the core announces changes; owned by `peers`. */
 SvPeerLink *sv_peers_link (SvPeers *peers);
 
-/** There is, or was, an instance with this name, link address, zone and strength; the rest is not
- * read. One of our cell is greeted. */
+/** Notes that an instance with this name, link address, zone and strength exists or existed; the
+ * other fields aren't read. A new one of our own cell is sent an introduction. */
 void sv_peers_learn (SvPeers *peers, const SvMember *member);
 
-/** How long nothing was heard from that address; 0: it is not known, or of another cell. */
+/** Time since the last datagram from that address, or since it was added if that is later; 0 if it
+ * is unknown or belongs to another cell. */
 KnlTime sv_peers_silence (const SvPeers *peers, const char *link_address);
 
-/** Newest configuration and newest revision in the list of endpoints that this instance has. */
+/** Sets the newest configuration version and endpoint list revision of this instance, which
+ * heartbeats announce. */
 void sv_peers_set_versions (SvPeers *peers, guint64 config, SvPosition endpoints);
 
-/** This instance asks the store, and has no answer; a change is told at once. */
+/** Sets whether the store has left this instance's requests unanswered; a change is announced at
+ * once. */
 void sv_peers_set_cut_off (SvPeers *peers, gboolean cut_off);
 
-/** Whether the store does not answer this instance, and answers another one of its cell. */
+/** Whether the store doesn't answer this instance but answers another one of its cell. */
 gboolean sv_peers_is_cut_off_alone (const SvPeers *peers);
 
-/** This instance is about to end: others take over what it does for them. */
+/** Announces that this instance is about to stop, so that others take over as relay and follower.
+ */
 void sv_peers_leave (SvPeers *peers);
 
-/** Whether this instance tells other cells of its own, and passes on what they tell. */
+/** Whether this instance is the relay of its cell. */
 gboolean sv_peers_is_relay (const SvPeers *peers);
 
-/**
- * Whether this instance follows the store itself: one of the strongest of its
- * cell that the store answers, or of a cell so small that there is little to save.
- */
+/** Whether this instance reads the store's feed itself: it is one of the strongest of its cell that
+ * the store answers, or its cell is too small for sharing to pay off. */
 gboolean sv_peers_follows (const SvPeers *peers);
 
-/** Whether stronger instances of our cell, enough to follow the store, have been learned of and not
- * been heard yet. */
+/** Whether enough stronger instances of our cell to follow the store have been discovered, but no
+ * datagram has arrived from them yet. */
 gboolean sv_peers_expects_followers (const SvPeers *peers);
 
-/** Whether the instance with that link address is one of our cell that follows the store. */
+/** Whether the instance with that link address belongs to our cell and follows the store. */
 gboolean sv_peers_is_follower (const SvPeers *peers, const char *link_address);
 
-/** Link address of an instance of our cell that follows the store, another one than `avoid` (may
- * be NULL); NULL: there is none. */
+/** Link address of an instance of our cell that follows the store, other than `avoid` (may be
+ * NULL); NULL if there is none. Owned by `peers`. */
 const char *sv_peers_follower (const SvPeers *peers, const char *avoid);
 
-/** Whether this instance takes callers; a change is told at once. */
+/** Sets whether this instance accepts callers; a change is announced at once. */
 void sv_peers_set_ready (SvPeers *peers, gboolean ready);
 
-/**
- * Callers' addresses of instances that are ready, this one among them if it is,
- * those of `zone` first; at most `limit`. Of other cells some are known. Free
- * with g_ptr_array_unref.
- */
+/** Addresses for callers of instances that are ready, those of `zone` first; at most `limit`.
+ * Includes this instance if it is ready. Of other cells only some addresses are known. Free with
+ * g_ptr_array_unref. */
 GPtrArray *sv_peers_ready_addresses (const SvPeers *peers, const char *zone, guint limit);
 
-/** Peers heard of lately, in all cells. */
+/** Number of live peers in all cells. */
 guint sv_peers_n_alive (const SvPeers *peers);
 
-/** The same in our cell alone. */
+/** Number of live peers in our own cell. */
 guint sv_peers_n_alive_in_cell (const SvPeers *peers);
--- a/include/serve/position.h
+++ b/include/serve/position.h
@@ -1,17 +1,15 @@
 #pragma once
 
-/**
- * Positions in the platform's store. The store may come back from an older copy:
- * versions go back then, and are given out again for other content. Each such
- * return begins an era, so that a version says something within its era only.
- */
+/** Positions in the platform's store. When the store is restored from an older copy, its versions
+ * go back and are then assigned again to different content. Each restoration begins an era, and
+ * versions compare only within one era. */
 
 #include <glib.h>
 
 typedef struct
 {
-  guint64 era;     /**< from 1 on, rises with each return from a copy; 0: not told */
-  guint64 version; /**< rises with each change within the era; 0: nothing is known yet */
+  guint64 era;     /**< from 1 on, rises with each restoration; 0: unknown */
+  guint64 version; /**< rises with each change within the era; 0: nothing was read yet */
 } SvPosition;
 
 typedef enum
@@ -19,11 +17,11 @@
   SV_POSITION_OLDER,
   SV_POSITION_SAME,
   SV_POSITION_NEWER,
-  SV_POSITION_UNRELATED, /**< one of the two tells no era, so that neither follows the other */
+  SV_POSITION_UNRELATED, /**< the era of one of the two is unknown, so neither follows the other */
 } SvPositionOrder;
 
-/** What `a` is, seen from `b`. Nothing known is older than anything. */
+/** Returns whether `a` is older or newer than `b`. Version 0 is older than any other. */
 SvPositionOrder sv_position_compare (SvPosition a, SvPosition b);
 
-/** The newer one; `b` where they are unrelated. */
+/** Returns the newer one; `b` if they are the same or unrelated. */
 SvPosition sv_position_newest (SvPosition a, SvPosition b);
--- a/serve/awaited.c
+++ b/serve/awaited.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* A configuration that the store has lost is written again within seconds. One that nobody has told
- * of for this long is taken for gone, and keys that it withdrew for valid. */
+/* A configuration that the store lost is written again within seconds. One that no peer has
+ * reported for this long counts as lost for good, and keys that it withdrew are valid again. */
 #define KEPT (30 * KNL_SEC)
 
 static gboolean
@@ -36,7 +36,8 @@
   self->told_at = now;
   if (self->n > 0 && version == self->rows[self->n - 1].version)
     return;
-  /* With no row left the newest one stands for this version too, which makes it older. */
+  /* With all rows in use, the newest row covers this version too, with an earlier time than its
+   * own. */
   if (self->n == SV_AWAITED_MOST)
     {
       self->rows[self->n - 1].version = version;
--- a/serve/cells.c
+++ b/serve/cells.c
@@ -1,17 +1,19 @@
-/** Cells: the instances of an availability zone, and which of them work for the others. */
+/** Cells (the instances of an availability zone), and the choice of their relay and followers. */
 
 #include <string.h>
 #include <xxhash.h>
 
 #include "peers_internal.h"
 
-/* A cell that nothing was heard of for this long is cut off or gone: five descriptions are lost. */
+/* A cell that was silent for this long is considered cut off or down: five consecutive descriptions
+ * were lost. */
 #define CELL_SILENT (2 * KNL_SEC)
 
-/* Instances of a cell that follow the store for the others: one may be lost at any time. */
+/* Instances of a cell that follow the store for the others; two, since one may fail at any time. */
 #define FOLLOWERS 2
 
-/* With fewer instances in a cell each follows the store itself: there is little to save. */
+/* In a cell with fewer instances than this, each follows the store itself: sharing would save
+ * little. */
 #define SHARED_FROM 4
 
 void
@@ -59,7 +61,8 @@
     {
       const Cell *cell = value;
 
-      /* What its relay last told, or what the store's rows have named lately. */
+      /* The number last reported by its relay, or of the instances recently named in the store's
+       * rows. */
       n += MAX (cell->instances, sv_peers_n_in_zone (self, cell->zone));
     }
   return n;
@@ -135,12 +138,9 @@
   return followers;
 }
 
-/*
- * An instance that the store turns away, or does not answer, is passed over:
- * else a whole cell would know nothing new while other instances of it reach the
- * store. With the store away for all, all ask it, and are told by its answer to
- * one of the strongest that they need not.
- */
+/* An instance that the store rejects or doesn't answer is skipped; otherwise a whole cell would get
+ * no updates although other instances of it reach the store. If the store answers no instance, all
+ * of them send requests to it; once it answers one of the strongest, the others stop. */
 gboolean
 sv_peers_follows (const SvPeers *self)
 {
@@ -200,7 +200,7 @@
 {
   g_autoptr (GPtrArray) followers = sv_cells_followers (self);
 
-  /* Half of the cell asks the one, half the other. */
+  /* Spreads the cell's requests evenly over the followers. */
   for (guint i = 0; i < followers->len; i++)
     {
       const Peer *peer = g_ptr_array_index (followers, (i + self->id) % followers->len);
--- a/serve/confirm.c
+++ b/serve/confirm.c
@@ -3,27 +3,27 @@
 #include "peers_internal.h"
 #include "serve/awaited.h"
 
-/* As parts of the time for which a confirmation is trusted: how often a peer is asked, from which
- * age on, and from which age on the store is asked after all. A follower's confirmation is as
- * old as its feed's wait, and what is passed on must still be younger than what is trusted. */
+/* Fractions of the maximum age `trust`: the interval of requests to peers, the age from which they
+ * are sent, and the age from which the store is queried as well. A follower's confirmation can be
+ * as old as its feed's wait, and must still be younger than `trust` after it was passed on. */
 #define ASK_EVERY_PART 0.2
 #define ASK_FROM_PART  0.25
 #define GIVE_UP_PART   0.8
 
-/* From this age on it is asked more often: whoever follows the store may be answered again any
- * moment. */
+/* From this age on peers are queried more often: an instance that follows the store may get an
+ * answer at any moment. */
 #define HURRY_FROM_PART  0.45
 #define HURRY_EVERY_PART 0.05
 
-/* A feed rests for less than this after changes; one that said nothing for longer waits for some.
- */
+/* A feed pauses for less than this after it delivered changes. If it was silent for longer, its
+ * request is waiting at the store for changes. */
 #define FEED_LAG (600 * KNL_MSEC)
 
-/* A peer's heartbeat may overtake what brings the news; behind for longer than this we have missed
- * it. */
+/* A peer's heartbeat may overtake the update itself. If this instance is behind for longer than
+ * this, it has missed the update. */
 #define NEWS_LAG (300 * KNL_MSEC)
 
-/* What others have told of that has not come. */
+/* A position that peers reported and that this instance hasn't reached. */
 typedef struct
 {
   SvPosition told;
@@ -38,12 +38,12 @@
   const SvConfirmEvents *events;
   gpointer data;
   KnlTimerId timer;
-  guint64 stamp;    /* of the question that is out; 0: none */
-  KnlTime asked_at; /* when it was sent */
+  guint64 stamp;    /* of the pending request; 0: none */
+  KnlTime asked_at; /* time at which it was sent */
   Behind config;
   Behind endpoints;
-  gboolean rechecks; /* a peer is asked the next time in any case */
-  SvPosition proven; /* that was the newest at `proven_at`; version 0: none */
+  gboolean rechecks; /* the next timer sends a request whatever the age */
+  SvPosition proven; /* was the newest at `proven_at`; version 0: none */
   KnlTime proven_at;
   SvAwaited awaited;
 };
@@ -71,8 +71,9 @@
     }
 }
 
-/* One of the instances that follow the store, at random: one that is gone must not be asked again
- * and again. A zone that is cut off from the store hears it from other zones. */
+/* Chooses one of the instances that follow the store at random, so that one that is down isn't
+ * queried repeatedly. If `hurries`, relays of other cells are included: a zone that is cut off
+ * from the store is confirmed through other zones. */
 static const Peer *
 choose_follower (const SvConfirm *self, gboolean hurries)
 {
@@ -101,7 +102,7 @@
 
   if (peer == NULL)
     return;
-  /* Never repeated, so that no answer is taken for that to a later question. */
+  /* Never repeated, so that an answer can't be mistaken for that to a later request. */
   self->stamp = ((guint64)g_rand_int (rand) << 32 | g_rand_int (rand)) | 1;
   self->asked_at = knl_kernel_now (self->kernel);
   question.stamp = self->stamp;
@@ -130,7 +131,7 @@
   self->rechecks = FALSE;
 }
 
-/* It was told of news: whether they have come is looked at when they should have. */
+/* A peer has a newer configuration: checks again at the time by which it should have arrived. */
 static void
 recheck (SvConfirm *self)
 {
@@ -141,7 +142,8 @@
   self->timer = knl_timer_start (self->kernel, NEWS_LAG + KNL_MSEC, on_timer, self);
 }
 
-/* What was the newest at a time, or anything newer, has all that was acknowledged by then. */
+/* A configuration that was the newest at a time, or any newer one, contains every change
+ * acknowledged by then. */
 static void
 use_proof (SvConfirm *self)
 {
@@ -187,11 +189,9 @@
     sv_peers_send_confirmation (self->peers, peer, &told);
 }
 
-/*
- * A question may be swallowed, by the store or on the way, and its answer is
- * waited for some seconds: one would go on sending requests to an endpoint that
- * leaves. A feed that lives would have told us at the same time as the peer.
- */
+/* Whether a feed is silent for so long that it should have delivered what peers report: a live one
+ * receives updates at the same time as they do. Its request may be lost at the store or on the way,
+ * and the timeout takes some seconds, in which requests would go to endpoints that are leaving. */
 static gboolean
 is_deaf (const SvConfirm *self, KnlTime heard_at)
 {
@@ -211,7 +211,7 @@
   return at > sv_confirm_outdated_since (self);
 }
 
-/* TRUE: it was told of long enough ago to have come. */
+/* Returns TRUE if a newer position was reported long enough ago that it should have arrived. */
 static gboolean
 is_behind (const SvConfirm *self, Behind *behind, SvPosition told, SvPosition known)
 {
@@ -231,8 +231,9 @@
                    knl_kernel_now (self->kernel));
 }
 
-/* What a peer says with its heartbeats. Of other cells only those listen who ask the store: the
- * rest of the cell hears it from them, and does not ask the store all at once. */
+/* Handles the versions in a peer's heartbeat. Those of other cells matter only to instances that
+ * poll the store: the others learn of them within their cell, and so don't all query the store at
+ * once. */
 static void
 on_versions (const Peer *peer, SvPosition config, SvPosition endpoints, gpointer data)
 {
@@ -264,14 +265,14 @@
           == SV_POSITION_NEWER
       && is_deaf (self, self->events->endpoints_heard_at (self->data)))
     self->events->ask_endpoints (self->data);
-  /* The same version of another era may be another configuration. */
+  /* The same version in another era may be a different configuration. */
   if (newest.era == own.era && newest.version >= own.version)
     {
       self->proven = newest;
       self->proven_at = self->asked_at - (KnlTime)told->age_ms * KNL_MSEC;
       use_proof (self);
     }
-  /* When versions come in a row, or are large, the newest is on its way here. */
+  /* If versions follow each other quickly, or are large, the newest is already on its way here. */
   if (is_behind (self, &self->config, newest, own)
       && is_deaf (self, self->events->config_heard_at (self->data)))
     self->events->ask_store (self->data);
--- a/serve/peers.c
+++ b/serve/peers.c
@@ -7,23 +7,24 @@
 #include "common/log.h"
 #include "peers_internal.h"
 
-/* Heartbeats: each peer of the cell hears one this often, less often when there are many of them so
- * that their number a second stays bounded. */
+/* Interval of the heartbeats to the peers of the cell. It grows with the number of peers, so that
+ * the heartbeats that an instance receives per second stay bounded. */
 #define BEAT_INTERVAL (400 * KNL_MSEC)
 #define BEAT_PER_PEER (8 * KNL_MSEC)
 
-/* Each of so many heartbeats says who we are and all that we have in flight, which mends what lost
- * datagrams left; the others, which are short, only that we live. */
+/* One of this many heartbeats is a full datagram, with the identity and all load in flight, which
+ * repairs state after lost datagrams; the others are short and only show that the instance is
+ * alive. */
 #define BEATS_A_WHOLE 4
 
-/* Heartbeats in a row that may be lost before a peer counts as gone. */
+/* Consecutive heartbeats that may be lost before a peer counts as dead. */
 #define SILENT_BEATS 3
 
-/* A peer that was not heard of for this long is forgotten; its row in the store brings it back. */
+/* A peer that was silent for this long is removed; its row in the store adds it again. */
 #define FORGET_AFTER (30 * KNL_SEC)
 
-/* Datagrams that are taken in before callers' and endpoints' connections have their turn; what is
- * left makes the socket readable again. */
+/* Datagrams handled in one callback, so that connections of callers and endpoints aren't delayed;
+ * the socket stays readable if there are more. */
 #define DATAGRAMS_A_TURN 64
 
 static void
@@ -84,13 +85,13 @@
 
   if (knl_kernel_now (self->kernel) - MAX (peer->heard_at, peer->learned_at) <= FORGET_AFTER)
     return FALSE;
-  /* An instance that moved has the same name, and so the same id, at its new address. */
+  /* An instance that moved keeps its name, and so its id, at its new address. */
   if (g_hash_table_lookup (self->by_id, GUINT_TO_POINTER (peer->id)) == peer)
     g_hash_table_remove (self->by_id, GUINT_TO_POINTER (peer->id));
   return TRUE;
 }
 
-/* What a silent peer has in flight may have ended long ago. */
+/* Drops the load of a silent peer, which may have ended long ago. */
 static void
 drop_silent (SvPeers *self, Peer *peer)
 {
@@ -106,11 +107,8 @@
     sv_endpoint_drop_peer (g_ptr_array_index (endpoints, i), peer->id);
 }
 
-/*
- * Instances that don't hear each other don't know what the others send. One
- * would see an endpoint with a limit get as many times of it as there are groups
- * that are cut off from each other.
- */
+/* Instances that are cut off from each other don't know what the others send. Without this, an
+ * endpoint with a limit would get its limit once from each separate group of instances. */
 static void
 share_limits (SvPeers *self)
 {
--- a/serve/peers_internal.h
+++ b/serve/peers_internal.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** What the parts of the peers share; nothing outside of them includes this. */
+/** Shared by the sources of the peers module only; not included elsewhere. */
 
 #include <sys/socket.h>
 
@@ -8,25 +8,25 @@
 #include "serve/peers.h"
 #include "wire/datagram.pb-c.h"
 
-/* Longest datagram; ROWS_MOST rows of each kind stay below it. */
+/* Size limit of a datagram; ROWS_MOST rows of each kind stay below it. */
 #define DATAGRAM_BYTES 2048
 
-/* Rows in a datagram, so that it stays below the usual packet size. */
+/* Maximum rows of one kind in a datagram, to stay below the usual packet size. */
 #define ROWS_MOST 36
 
-/* The same for endpoints that were lost, and for those that answer again. */
+/* Maximum rows for endpoints where requests were lost, and for those that answer again. */
 #define HEALTH_MOST 10
 
-/* The same for prompts, each with the endpoints that read it. */
+/* Maximum rows for prompts, each listing the endpoints that prefill it. */
 #define READS_MOST 5
 
 /** Another instance. */
 typedef struct
 {
-  char *name; /* NULL: nothing was heard from it yet */
+  char *name; /* NULL: no datagram from it yet */
   char *link_address;
   char *callers_address;
-  char *zone; /* NULL: not known */
+  char *zone; /* NULL: unknown */
   guint strength;
   struct sockaddr_storage socket_address;
   int socket_length;
@@ -34,53 +34,53 @@
   guint64 incarnation;
   guint64 sequence;
   gboolean ready;
-  gboolean cut_off;    /* the store does not answer it */
-  gboolean is_counted; /* endpoints have rows of what it has in flight */
+  gboolean cut_off;    /* the store doesn't answer it */
+  gboolean is_counted; /* endpoints have rows of its load in flight */
   KnlTime heard_at;    /* -KNL_NEVER: never */
   KnlTime known_since;
-  KnlTime learned_at; /* last time that somebody named it */
-  KnlTime told_since; /* since when `n_told` counts */
-  guint n_told;       /* losses that it has told */
+  KnlTime learned_at; /* last call of sv_peers_learn for it */
+  KnlTime told_since; /* start of the window that `n_told` counts in */
+  guint n_told;       /* losses that it reported in the window */
 } Peer;
 
-/** The instances of another availability zone, as their relay tells of them. */
+/** The instances of another availability zone, as reported by their relay. */
 typedef struct
 {
   char *zone;
   guint32 id;
-  guint32 relay;    /* id of the peer that speaks for it; 0: none was heard yet */
+  guint32 relay;    /* id of its relay; 0: not known yet */
   KnlTime heard_at; /* -KNL_NEVER: never */
-  guint instances;  /* that it last told of */
-  GPtrArray *ready; /* callers' addresses */
+  guint instances;  /* as last reported by its relay */
+  GPtrArray *ready; /* addresses for callers, as last reported */
   gboolean is_counted;
 } Cell;
 
-/** A prompt placed for reading, or its end, to be told. */
+/** The prefill of a prompt, or its end, to be announced. */
 typedef struct
 {
   guint64 prompt;
   KnlTime length;
   gboolean until_told;
-  guint n; /* endpoints that read it; 0: its end */
+  guint n; /* endpoints that prefill it; 0: the prefill has ended */
   guint64 keys[SV_HELPERS + 1];
 } PlacedReadRow;
 
-/** What is to be told, but for loads, which endpoints keep. */
+/** Updates to be announced, except loads, which the endpoints keep. */
 typedef struct
 {
   GArray *reads;     /* PlacedReadRow */
   GArray *suspects;  /* guint64 */
   GArray *lost;      /* guint64, keys of endpoints */
-  GArray *lost_by;   /* guint32, for each of `lost` */
+  GArray *lost_by;   /* guint32, id of the reporter for each of `lost` */
   GArray *answering; /* guint64, keys of endpoints */
 } News;
 
-/** A peer asks for a confirmation, or answers a question of ours. */
+/** Called when a peer requests a confirmation or answers a request of ours. */
 typedef void (*SvPeerConfirmFunc) (const Peer *peer,
                                    const Alderturn__Confirmation *confirmation,
                                    gpointer data);
 
-/** A peer has told the versions that it has. */
+/** Called when a peer reports its versions of the configuration and the endpoint list. */
 typedef void (*SvPeerVersionsFunc) (const Peer *peer,
                                     SvPosition config,
                                     SvPosition endpoints,
@@ -104,35 +104,35 @@
   GHashTable *peers;     /* link address -> Peer */
   GHashTable *by_id;     /* id -> Peer */
   GHashTable *cells;     /* id -> Cell, other ones */
-  News news;             /* of our own, for our cell */
-  News cell_news;        /* of all in our cell, for other cells; filled by the relay only */
+  News news;             /* updates of this instance, for our cell */
+  News cell_news;        /* updates of our whole cell, for other cells; filled by the relay only */
   guint n_in_cell;       /* peers of our cell, alive or not, at the last heartbeat */
   gboolean was_relay;    /* at the last heartbeat */
-  guint described_from;  /* index of the endpoint that the next description begins with */
-  KnlTime cell_told_at;  /* last time that other cells were told changes; 0: never */
-  KnlTimerId cell_timer; /* the next time; 0: nothing waits */
-  KnlTime described_at;  /* 0: never because of a change */
+  guint described_from;  /* index of the first endpoint in the next description */
+  KnlTime cell_told_at;  /* last time that changes were announced to other cells; 0: never */
+  KnlTimerId cell_timer; /* next announcement to other cells; 0: none is scheduled */
+  KnlTime described_at;  /* last description sent because of a change; 0: never */
   KnlTimerId describe_timer;
-  GPtrArray *passing; /* GBytes of other cells' datagrams, to be passed on */
+  GPtrArray *passing; /* GBytes: datagrams of other cells, to be forwarded */
   KnlTime passed_at;  /* 0: never */
   KnlTimerId pass_timer;
-  CmLogLimit unreadable; /* datagrams */
+  CmLogLimit unreadable; /* limits log lines about unreadable datagrams */
   KnlTimerId beat_timer;
-  guint beats; /* sent so far */
+  guint beats; /* heartbeats sent so far */
   KnlTimerId change_timer;
   SvPeerConfirmFunc on_confirmation; /* NULL: none */
   SvPeerVersionsFunc on_versions;    /* NULL: none */
-  gpointer on_confirmation_data;     /* of both */
+  gpointer on_confirmation_data;     /* passed to both */
   SvPeerSuspectFunc on_suspect;
   gpointer on_suspect_data;
 };
 
-/** Rows of one kind, with the pointers that protobuf-c wants. */
+/** Storage for a datagram's rows, with the arrays of pointers that protobuf-c needs. */
 typedef struct
 {
   Alderturn__EndpointLoad loads[ROWS_MOST];
   Alderturn__EndpointLoad *load_rows[ROWS_MOST];
-  Alderturn__EndpointLimit limits[ROWS_MOST]; /* of `loads` */
+  Alderturn__EndpointLimit limits[ROWS_MOST]; /* limit of the same index in `loads` */
   guint n_limits;
   Alderturn__PlacedRead reads[READS_MOST];
   Alderturn__PlacedRead *read_rows[READS_MOST];
@@ -143,21 +143,21 @@
 gboolean sv_peer_is_alive (const SvPeers *self, const Peer *peer);
 gboolean sv_peer_is_in_cell (const SvPeers *self, const Peer *peer);
 
-/** Whether the peer would be relay before an instance with that strength and id. */
+/** Whether the peer precedes an instance with that strength and id in the choice of the relay. */
 gboolean sv_peer_is_stronger (const Peer *peer, guint strength, guint32 id);
 
-/** Adds the instance at that address; NULL: it is no address. */
+/** Adds the instance at that address. Returns NULL if the address is invalid. */
 Peer *sv_peers_add (SvPeers *self, const char *link_address);
 
-/** Peers of that zone, alive or not. */
+/** Number of known peers of that zone, alive or not. */
 guint sv_peers_n_in_zone (const SvPeers *self, const char *zone);
 
 /* peers_take.c */
 
-/** Takes a datagram, whatever its bytes are. */
+/** Handles a received datagram; `bytes` may be malformed. */
 void sv_peers_take_bytes (SvPeers *self, const guint8 *bytes, gsize length);
 
-/** Takes what another cell's relay says for it. */
+/** Applies what another cell's relay reports for its cell. */
 void sv_peers_take_cell (SvPeers *self, const Alderturn__Datagram *datagram);
 
 void sv_peers_on_confirmation (SvPeers *self,
@@ -167,104 +167,108 @@
 
 /* peers_tell.c */
 
-/** What the core reports to. */
+/** Callbacks through which the core announces changes to peers. */
 extern const SvPeerLinkClass sv_peers_link_class;
 
 void sv_news_init (News *news);
 void sv_news_clear (News *news);
 
-/** Adds what a datagram of our cell tells; `teller` is its sender. */
+/** Appends the updates of a datagram of our cell; `teller` is the id of its sender. */
 void sv_news_append (News *news, const Alderturn__Datagram *datagram, guint32 teller);
 
-/** Begins a datagram of ours; `rows` lives as long as it does. */
+/** Initializes a datagram to send; `rows` must live as long as the datagram. */
 void sv_peers_begin_datagram (SvPeers *self, Alderturn__Datagram *datagram, Rows *rows);
 
-/** Says in it who we are. */
+/** Fills in the identity of this instance. */
 void sv_peers_fill_sender (const SvPeers *self,
                            Alderturn__Datagram *datagram,
                            Alderturn__Sender *sender);
 
-/** Whether so many rows of load are in it; a limit takes as much room as a row. */
+/** Whether the datagram has `most` load rows or more; a limit counts as a row. */
 gboolean sv_rows_are_full (const Rows *rows, const Alderturn__Datagram *datagram, guint most);
 
-/** Adds what `load` says of the endpoint; there is room for ROWS_MOST. */
+/** Adds a row with the endpoint's `load`; there is space for ROWS_MOST. */
 void sv_peers_add_load (const SvPeers *self,
                         Alderturn__Datagram *datagram,
                         Rows *rows,
                         const SvEndpoint *endpoint,
                         const SvLoad *load);
 
-/** Adds the endpoint's limit, if it is to be told, to the row that was added last; `sent`: requests
- * of those that the row speaks for. */
+/** Adds the endpoint's limit, if it must be announced, to the row added last; `sent`: requests that
+ * the instances covered by the row have sent to the endpoint since the limit was advertised. */
 void sv_peers_add_limit (const SvPeers *self,
                          Alderturn__Datagram *datagram,
                          Rows *rows,
                          const SvEndpoint *endpoint,
                          guint32 sent);
 
-/** Adds as much of `news` as there is room for. FALSE: there was none. */
+/** Adds as many of the updates in `news` as fit. Returns FALSE if there were none. */
 gboolean sv_peers_add_news (Alderturn__Datagram *datagram, Rows *rows, News *news);
 
-/** Takes out of `news` what the datagram tells. */
+/** Removes from `news` the updates that the datagram contains. */
 void sv_news_told (News *news, const Alderturn__Datagram *datagram);
 
 void sv_peers_send (SvPeers *self, const Peer *peer, const Alderturn__Datagram *datagram);
 void sv_peers_send_to_cell (SvPeers *self, const Alderturn__Datagram *datagram);
 
-/** Sends who we are and all that we have in flight to `peer`; NULL: to all of our cell. */
+/** Sends the identity of this instance and all its load in flight to `peer`; NULL: to all of our
+ * cell. */
 void sv_peers_send_whole (SvPeers *self, const Peer *peer);
 
-/** Sends the question or answer, alone. */
+/** Sends a request for a confirmation, or the answer to one, in a datagram of its own. */
 void sv_peers_send_confirmation (SvPeers *self,
                                  const Peer *peer,
                                  const Alderturn__Confirmation *confirmation);
 
-/** Tells our cell that we live, and no more. */
+/** Sends a short heartbeat to our cell, with versions but without loads. */
 void sv_peers_send_beat (SvPeers *self);
 
 /* cells.c */
 
 void sv_cell_free (gpointer cell);
 
-/** The cell of that zone, added if need be; NULL: it is our own. */
+/** The cell of that zone, added if it is unknown; NULL if it is our own. */
 Cell *sv_cells_of_zone (SvPeers *self, const char *zone);
 
-/** Instances of all other cells, those that are silent now among them. */
+/** Number of instances of all other cells, silent ones included. */
 guint sv_cells_n_instances (const SvPeers *self);
 
 gboolean sv_cell_is_alive (const SvPeers *self, const Cell *cell);
 
-/** The relay of our cell; NULL: this instance is it. */
+/** The relay of our cell; NULL if it is this instance. */
 const Peer *sv_cells_relay (const SvPeers *self);
 
-/** Whether the peer is of our cell, and alive. */
+/** Whether the peer belongs to our cell and is alive. */
 gboolean sv_cells_has_alive (const SvPeers *self, const Peer *peer);
 
-/** Alive peers of our cell that follow the store, the strongest first; free it. */
+/** Alive peers of our cell that follow the store, the strongest first. Free with g_ptr_array_unref.
+ */
 GPtrArray *sv_cells_followers (const SvPeers *self);
 
 /* relay.c */
 
-/** A heartbeat is due: the relay describes its cell to others; cells that are silent lose their
- * loads. */
+/** To be called with each heartbeat: the relay sends its cell's description to other cells, and the
+ * loads of silent cells are dropped. */
 void sv_relay_beat (SvPeers *self);
 
-/** This instance or a peer of its cell has something new: the relay tells other cells. */
+/** To be called after a change in this cell: the relay announces it to other cells. */
 void sv_relay_tell (SvPeers *self);
 
-/** Another instance of our cell takes callers than before: the relay tells other cells. */
+/** To be called when the set of instances of our cell that accept callers has changed: the relay
+ * sends a new description to other cells. */
 void sv_relay_note_ready (SvPeers *self);
 
-/** A datagram of another cell's relay came here from there. */
+/** Handles a datagram that came directly from another cell's relay. */
 void sv_relay_receive (SvPeers *self,
                        const Alderturn__Datagram *datagram,
                        const guint8 *bytes,
                        gsize length);
 
-/** Datagrams of other cells came from a peer of ours. */
+/** Handles datagrams of other cells that a peer of our cell forwarded. */
 void sv_relay_take_passed (SvPeers *self, const Alderturn__Datagram *datagram);
 
-/** A peer of our cell has started: the relay tells it what is known of other cells and of reads. */
+/** Sends the peer, which has just started, what is known of other cells' loads and of running
+ * prefills. Does nothing unless this instance is the relay. */
 void sv_relay_send_picture (SvPeers *self, const Peer *peer);
 
 void sv_relay_stop (SvPeers *self);
--- a/serve/peers_take.c
+++ b/serve/peers_take.c
@@ -1,12 +1,12 @@
-/** What other instances tell. */
+/** Handling of datagrams that other instances send. */
 
 #include <math.h>
 #include <string.h>
 
 #include "peers_internal.h"
 
-/* Losses that a peer may tell within the window and still be believed: so many, or this part of all
- * endpoints. */
+/* Losses that a peer may report within the window and still be believed: this number, or this
+ * fraction of all endpoints if it is larger. */
 #define TOLD_WINDOW (2 * KNL_SEC)
 #define TOLD_LEAST  4U
 #define TOLD_PART   0.25
@@ -20,8 +20,8 @@
   *field = g_strdup (text);
 }
 
-/* Who the sender is; a new one of our cell is answered, so that it need not wait for our next whole
- * one. */
+/* Updates the sender's identity. A new peer of our cell gets a full datagram at once, so that it
+ * needn't wait for the next periodic one. */
 static Peer *
 take_member (SvPeers *self, const Alderturn__Datagram *datagram)
 {
@@ -55,7 +55,7 @@
   return peer;
 }
 
-/* Ages are told, not times: nobody's clock is trusted but our own. */
+/* Datagrams carry ages instead of times, so that only this instance's own clock is relied on. */
 static void
 take_silence (const SvPeers *self, SvEndpoint *endpoint, const Alderturn__EndpointLoad *row)
 {
@@ -65,10 +65,8 @@
     endpoint->heard_at = MAX (endpoint->heard_at, heard_at);
 }
 
-/*
- * A peer that loses requests at many endpoints at once is cut off or sick
- * itself; believed, two such ones would take sound endpoints away from all.
- */
+/* A peer that loses requests at many endpoints at once is probably cut off or faulty itself. If its
+ * reports were accepted, two such peers would make all instances avoid healthy endpoints. */
 static gboolean
 is_believed (SvPeers *self, Peer *peer, gsize n_lost)
 {
@@ -110,7 +108,7 @@
     }
 }
 
-/* The endpoint that the row is of, and what it says; NULL: it is not known here. */
+/* Returns the endpoint of the row and fills in its load; NULL if the endpoint is unknown here. */
 static SvEndpoint *
 take_row (SvPeers *self, const Alderturn__EndpointLoad *row, SvLoad *load)
 {
@@ -127,8 +125,8 @@
   return endpoint;
 }
 
-/* What an endpoint has named somebody, and how many requests it was sent since. `told` says by
- * whom; `sent` is filled here. */
+/* Handles a rate limit that the endpoint advertised to an instance, and the number of requests sent
+ * to it since. `told` identifies the reporter; its `sent` is filled in here. */
 static void
 take_limit (SvPeers *self,
             SvEndpoint *endpoint,
@@ -141,7 +139,7 @@
   if (!isfinite (limit->rate))
     return;
   if (sv_endpoint_note_limit (endpoint, limit->rate < 0 ? POL_NO_LIMIT : limit->rate, named_at))
-    cm_log (CM_LOG_NOTICE, "endpoint-limit", "s", "endpoint", endpoint->id, "i", "told-by",
+    cm_log (CM_LOG_NOTICE, "endpoint-limit", "s", "endpoint", endpoint->id, "i", "reported-by",
             (gint64)told.teller, "f", "requests-a-second", endpoint->limit.rate, "f", "before",
             before, "i", "age-us", (gint64)limit->age_ms * KNL_MSEC);
   told.sent = limit->sent;
@@ -149,7 +147,8 @@
     sv_endpoint_note_told_sends (endpoint, &told);
 }
 
-/* Our relay tells what it knows of a cell, and so that it lives. */
+/* Applies a snapshot row with another cell's load. The relay sends rows of live cells, so a cell
+ * from which nothing was received counts as seen now. */
 static void
 take_picture_row (SvPeers *self, SvEndpoint *endpoint, guint32 id, const SvLoad *load)
 {
@@ -163,7 +162,7 @@
   sv_endpoint_set_cell (endpoint, id, load);
 }
 
-/* Of a peer of our cell: what it has in flight itself, and what it knows of other cells. */
+/* Applies loads that a peer of our cell sent: its own, and in a snapshot those of other cells. */
 static void
 take_loads (SvPeers *self, Peer *peer, const Alderturn__Datagram *datagram)
 {
@@ -229,11 +228,9 @@
     }
 }
 
-/*
- * A datagram that was overtaken by a newer one, or of an earlier start, says
- * nothing new. Incarnations are wall time, which may have jumped back before
- * the last start; one that was not heard of for a while is believed.
- */
+/* Whether the datagram is older than what is known, because a newer one overtook it or the peer has
+ * restarted since. Incarnations are wall-clock times, and the clock may have jumped back before the
+ * last start, so a lower incarnation is accepted from a peer that was silent for a while. */
 static gboolean
 is_overtaken (const SvPeers *self, const Peer *peer, const Alderturn__Datagram *datagram)
 {
@@ -242,7 +239,8 @@
   return datagram->sequence <= peer->sequence;
 }
 
-/* The peer that has sent it, unless it says nothing new. */
+/* Updates and returns the peer that sent the datagram; NULL if the peer is unknown or the datagram
+ * is older than what is known. */
 static Peer *
 take_sender (SvPeers *self, const Alderturn__Datagram *datagram)
 {
@@ -301,8 +299,8 @@
     g_ptr_array_add (cell->ready, g_strdup (told->ready[i]));
 }
 
-/* Two instances may both hold themselves for the relay, one of them cut off from the other; the one
- * that would be it if both heard each other is listened to. */
+/* Whether to accept the peer as relay of the cell. If two instances are cut off from each other,
+ * both act as relay; of those the stronger is accepted. */
 static gboolean
 speaks_for (SvPeers *self, const Peer *peer, Cell *cell)
 {
@@ -351,7 +349,7 @@
   sv_relay_take_passed (self, datagram);
 }
 
-/* Anything may be sent to the port. */
+/* The port is open, so any bytes may arrive; the log is rate-limited. */
 static void
 log_unreadable (SvPeers *self, gsize length)
 {
--- a/serve/peers_tell.c
+++ b/serve/peers_tell.c
@@ -1,12 +1,13 @@
-/** What this instance tells the others. */
+/** Datagrams that this instance sends to other instances. */
 
 #include <string.h>
 
 #include "common/log.h"
 #include "peers_internal.h"
 
-/* Changes of load wait this long for others to go with them. Reads go at once: another instance
- * that places a read on top of them in the meantime makes streams pause. */
+/* Delays before a change is announced. A change of load waits so that others can share its
+ * datagram. A prefill is announced sooner: if another instance placed a second prefill on the same
+ * endpoint before it knows of this one, the endpoint's streams would stall. */
 #define LOAD_DELAY (5 * KNL_MSEC)
 #define READ_DELAY (2 * KNL_MSEC)
 
@@ -44,7 +45,7 @@
       return;
     }
   alderturn__datagram__pack (datagram, bytes);
-  /* A datagram that can't be sent now is a lost one. */
+  /* Not sent again: a failed send counts as a lost datagram. */
   if (sendto (self->socket, bytes, length, MSG_DONTWAIT,
               (const struct sockaddr *)&peer->socket_address, (socklen_t)peer->socket_length)
       < 0)
@@ -218,7 +219,7 @@
   Rows rows;
 
   sv_peers_begin_datagram (self, &datagram, &rows);
-  /* Another cell's relay may never have heard of us. */
+  /* Another cell's relay may not know this instance yet. */
   if (!sv_peer_is_in_cell (self, peer))
     sv_peers_fill_sender (self, &datagram, &sender);
   datagram.confirmation = (Alderturn__Confirmation *)confirmation;
@@ -271,7 +272,7 @@
   g_array_remove_range (self->answering, 0, (guint)datagram->n_answering);
 }
 
-/* FALSE: there was nothing to tell. */
+/* Returns FALSE if there was nothing to announce. */
 static gboolean
 send_changes (SvPeers *self)
 {
--- a/serve/relay.c
+++ b/serve/relay.c
@@ -1,25 +1,28 @@
-/** What a relay does: it tells other cells of its own, and its own of others. */
+/** The relay of a cell: announces its cell's sums to other cells, and forwards theirs to its own
+ * cell. */
 
 #include <string.h>
 
 #include "peers_internal.h"
 
-/* Changes reach other cells, and those of other cells the peers of ours, at most this often: what
- * comes in between goes together. A change is known everywhere two of these, two delays between
- * zones and the sender's own wait after it was made. */
+/* Minimum interval between announcements to other cells, and between forwards to the peers of our
+ * cell; changes in between are sent together. A change is known in all cells after at most two of
+ * these intervals, two network delays between zones, and the sender's own delay. */
 #define CELL_PACE (5 * KNL_MSEC)
 
-/* Endpoints in each description of a cell, in turn; it mends what lost datagrams left. With 155 of
- * them each is told every 5 s, and those in use change more often than that. */
+/* Endpoints in each description of a cell, which go through the whole list in turn and repair state
+ * after lost datagrams. With 155 endpoints each is announced every 5 s; those in use change, and so
+ * are announced, more often. */
 #define DESCRIBED_MOST 12
 
-/* Callers' addresses in a description, for callers whose own zone has too few. */
+/* Callers' addresses in a description; callers whose own zone has too few instances get them. */
 #define READY_MOST 8
 
-/* Instances of a zone that no relay is known of that are told a description: they pass it on. */
+/* Instances that receive the description if a zone's relay isn't known; they pass it to their
+ * relay. */
 #define GREETED_MOST 2
 
-/* Bytes of other cells' datagrams in one of ours. */
+/* Maximum bytes of other cells' datagrams that are forwarded in one datagram. */
 #define PASSED_BYTES 1400
 
 static const Peer *
@@ -28,7 +31,8 @@
   return g_hash_table_lookup (self->by_id, GUINT_TO_POINTER (cell->relay));
 }
 
-/* Some instances of a cell that no relay was heard of; they pass on what they get. */
+/* Sends the description to some instances of a cell whose relay isn't known; they pass it to their
+ * relay. */
 static void
 greet_cell (SvPeers *self, const Cell *cell, const Alderturn__Datagram *datagram)
 {
@@ -115,7 +119,7 @@
     }
 }
 
-/* FALSE: there was nothing to tell. */
+/* Returns FALSE if there was nothing to announce. */
 static gboolean
 send_sums (SvPeers *self)
 {
@@ -145,7 +149,8 @@
     ;
 }
 
-/* At once, or a pace after the last time. */
+/* Runs `func` at once, or CELL_PACE after the last run at `last` (0: never), unless it is scheduled
+ * already. */
 static void
 run_paced (SvPeers *self, KnlTimerId *timer, KnlTime last, KnlTimerFunc func)
 {
@@ -186,7 +191,8 @@
   return n;
 }
 
-/* Who speaks for the cell, some who take callers, and some endpoints' sums in turn. */
+/* Sends the cell's description to other cells: its relay, some addresses for callers, and the sums
+ * of some endpoints in turn. */
 static void
 describe (SvPeers *self)
 {
@@ -231,7 +237,7 @@
     run_paced (self, &self->describe_timer, self->described_at, on_describe_due);
 }
 
-/* What a silent cell has in flight may have ended long ago. */
+/* Drops the load of a silent cell, which may have ended long ago. */
 static void
 drop_silent (SvPeers *self, Cell *cell)
 {
@@ -245,7 +251,8 @@
     sv_endpoint_drop_cell (g_ptr_array_index (endpoints, i), cell->id);
 }
 
-/* Other cells believe what the last relay told them, which may be anything. */
+/* Called when this instance becomes relay. Other cells hold what the previous relay announced,
+ * which isn't known here, so all sums are marked as changed. */
 static void
 take_over (SvPeers *self)
 {
@@ -280,7 +287,7 @@
   sv_relay_tell (self);
 }
 
-/* As many as fit into one datagram; the rest is left. */
+/* Forwards as many of the queued datagrams as fit into one; the others stay queued. */
 static void
 send_passed (SvPeers *self)
 {
@@ -325,7 +332,8 @@
   run_paced (self, &self->pass_timer, self->passed_at, on_pass_due);
 }
 
-/* It came to an instance that is not the relay, since its sender doesn't know who is. */
+/* Passes a datagram from another cell to our relay: its sender doesn't know which instance that is.
+ */
 static void
 hand_to_relay (SvPeers *self, const Peer *relay, const guint8 *bytes, gsize length)
 {
@@ -369,14 +377,15 @@
         continue;
       if (passed->cell != NULL && passed->cell->id != self->cell)
         sv_peers_take_cell (self, passed);
-      /* Never handed to a relay again: two that hold each other for it would do so for ever. */
+      /* Not passed to a relay again: two instances that each take the other for the relay would do
+       * so forever. */
       if (datagram->to_relay)
         pass_on (self, bytes->data, bytes->len);
       alderturn__datagram__free_unpacked (passed, NULL);
     }
 }
 
-/* A datagram that is being filled, and whom it is for. */
+/* State while a snapshot is sent: the datagram being filled, and its receiver. */
 typedef struct
 {
   SvPeers *peers;
@@ -426,11 +435,9 @@
     }
 }
 
-/*
- * An instance that has just started takes every endpoint for idle. Many that
- * start together send their first requests to the same few ones, which one sees
- * as engines with a full queue beside idle ones for seconds.
- */
+/* An instance that has just started takes every endpoint for idle. If many start together, they
+ * send their first requests to the same few endpoints, and for seconds some engines have full
+ * queues next to idle ones. */
 void
 sv_relay_send_picture (SvPeers *self, const Peer *peer)
 {
