--- a/tests/unit/peers_fixture.c
+++ b/tests/unit/peers_fixture.c
@@ -8,7 +8,7 @@
 static void
 on_stuck (evutil_socket_t fd, short what, void *data)
 {
-  g_error ("nothing happens any more");
+  g_error ("the test timed out");
 }
 
 static void
--- a/tests/unit/sv_cells_test.c
+++ b/tests/unit/sv_cells_test.c
@@ -1,4 +1,4 @@
-/** What zones know of each other, by their relays, while relays and datagrams are lost. */
+/** What cells know of each other through their relays, while relays and datagrams are lost. */
 
 #include "peers_fixture.h"
 #include "suite.h"
@@ -6,10 +6,11 @@
 /* Three instances in each of two zones. */
 #define INSTANCES 6
 
-/* More than a description of a cell names, so that most must be told by themselves. */
+/* More endpoints than one description of a cell contains, so that most changes are announced
+ * separately. */
 #define ENDPOINTS 40
 
-/* Three heartbeats without a word, and the next one. */
+/* Time until a stopped relay is replaced: three missed heartbeats, and the next one. */
 #define REPLACED (4 * PEERS_BEAT + PEERS_ACROSS)
 
 static const char *const zones[INSTANCES] = { "a", "a", "a", "b", "b", "b" };
@@ -43,7 +44,8 @@
     }
 }
 
-/* Each zone has one relay, and all instances know what all have in flight within some ms. */
+/* Each zone has one relay, and all instances know the load of all others within some milliseconds.
+ */
 static void
 test_sums_are_known_everywhere (void)
 {
@@ -74,9 +76,9 @@
 }
 
 /*
- * Symptom: a zone's engines look idle from other zones, or busy for ever.
+ * Symptom: a zone's engines look idle from other zones, or busy forever.
  * Sequence: the zone's relay loses power; its peers go on placing requests.
- * Cause: nobody took over, or the new relay told only what changed since it did.
+ * Cause: no peer became relay, or the new relay announced only changes made since then.
  */
 static void
 test_a_lost_relay_is_replaced (void)
@@ -97,7 +99,7 @@
   peers_fixture_call (&fixture, other, 3);
   peers_fixture_pass (&fixture, PEERS_ACROSS);
   check_loads (&fixture, 3);
-  /* And what others tell reaches this zone. */
+  /* Announcements of other zones reach this zone, too. */
   peers_fixture_call (&fixture, 4, 10);
   peers_fixture_pass (&fixture, PEERS_ACROSS);
   check_loads (&fixture, 13);
@@ -105,9 +107,9 @@
 }
 
 /*
- * Symptom: after a zone is gone or cut off its requests keep engines looking busy.
+ * Symptom: after a zone has failed or is cut off, its requests still make engines look busy.
  * Sequence: all instances of a zone lose power at once.
- * Cause: the sums of a cell outlived it.
+ * Cause: the sums of a silent cell were kept.
  */
 static void
 test_a_silent_cell_is_left_out (void)
@@ -127,11 +129,11 @@
 }
 
 /*
- * Symptom: after many instances have started again, half of the short prompts go to engines with a
- * full queue beside idle ones.
- * Sequence: an instance loses power and starts; it places requests before a whole round of
- * descriptions has come.
- * Cause: it took for idle what it had not been told of, prompts that are being read among them.
+ * Symptom: after many instances were restarted, half of the short prompts go to engines with a full
+ * queue next to idle ones.
+ * Sequence: an instance loses power and starts; it places requests before the descriptions of all
+ * endpoints have arrived.
+ * Cause: it took endpoints for idle whose loads it hadn't received yet, running prefills included.
  */
 static void
 test_an_instance_starts_with_knowledge (void)
@@ -168,9 +170,9 @@
 }
 
 /*
- * Symptom: the loads of a zone jump between two values.
- * Sequence: two of its instances don't hear each other, and both hold themselves for the relay.
- * Cause: what either told for the cell was believed.
+ * Symptom: the loads of a zone alternate between two values.
+ * Sequence: two of its instances are cut off from each other, and both act as its relay.
+ * Cause: the sums of both were accepted.
  */
 static void
 test_one_speaks_for_a_cell (void)
@@ -184,7 +186,7 @@
   other = relay == 0 ? 1 : 0;
   peers_fixture_call (&fixture, relay, 4);
   peers_fixture_pass (&fixture, PEERS_ACROSS);
-  /* One that starts hears nobody of its cell, and knows of the other zone only. */
+  /* The started instance knows no peer of its own cell, only one of the other zone. */
   peers_fixture_stop (&fixture, other);
   fixture.strength[other] = 1;
   fixture.incarnation++;
@@ -199,7 +201,7 @@
   peers_fixture_close (&fixture);
 }
 
-/* The zones of six instances, all in one. */
+/* The same instances, all in one zone. */
 static const char *const one_zone[INSTANCES] = { "a", "a", "a", "a", "a", "a" };
 
 static guint
@@ -214,9 +216,9 @@
 
 /*
  * Symptom: a whole zone stops serving while most of its instances reach the store.
- * Sequence: the store turns away those that follow it for the others.
- * Cause: nobody else took over from them. And when it answers none, all try, so that the first
- * that has an answer is one of those that the others ask.
+ * Sequence: the store rejects the instances that follow it for the others.
+ * Cause: no other instance replaced them. If the store answers no instance, all must try, so that
+ * the first that gets an answer is one that the others query.
  */
 static void
 test_who_is_turned_away_is_passed_over (void)
@@ -232,7 +234,7 @@
         sv_peers_set_cut_off (fixture.peers[i], TRUE);
     }
   peers_fixture_pass (&fixture, PEERS_ACROSS);
-  /* Those that are turned away go on trying. */
+  /* Rejected instances go on trying. */
   CU_ASSERT_EQUAL (n_followers (&fixture), 4);
   for (guint i = 0; i < INSTANCES; i++)
     sv_peers_set_cut_off (fixture.peers[i], TRUE);
@@ -245,7 +247,7 @@
   peers_fixture_close (&fixture);
 }
 
-/* The strongest follow, and are asked, half of the others each. */
+/* The strongest instances follow the store, and each is queried by half of the others. */
 static void
 test_followers_are_the_strongest (void)
 {
@@ -268,7 +270,7 @@
       CU_ASSERT (sv_peers_is_follower (fixture.peers[i], follower));
       CU_ASSERT_STRING_NOT_EQUAL (follower, second);
     }
-  /* One that leaves hands over at once. */
+  /* An instance that leaves is replaced at once. */
   sv_peers_leave (fixture.peers[4]);
   peers_fixture_pass (&fixture, PEERS_ACROSS);
   CU_ASSERT_FALSE (sv_peers_follows (fixture.peers[4]));
--- a/tests/unit/sv_confirm_test.c
+++ b/tests/unit/sv_confirm_test.c
@@ -1,4 +1,5 @@
-/** Confirmations of the configuration that instances pass on, however late or old they are. */
+/** Confirmations of the configuration that are passed on between instances, also delayed and old
+ * ones. */
 
 #include <string.h>
 
@@ -6,7 +7,7 @@
 #include "serve/confirm.h"
 #include "suite.h"
 
-/* Enough for confirmations to be passed on; two of them ask the store. */
+/* Enough instances for confirmations to be passed on; two of them query the store. */
 #define INSTANCES 14
 #define STUCK_S   20
 
@@ -42,7 +43,7 @@
 static void
 on_stuck (evutil_socket_t fd, short what, void *data)
 {
-  g_error ("nothing happens any more");
+  g_error ("the test timed out");
 }
 
 static SvPosition
@@ -205,7 +206,7 @@
   event_base_free (self->base);
 }
 
-/* Some ask the store, and are confirmed at each step of time; returns one that does not. */
+/* Returns an instance that doesn't query the store itself. */
 static Instance *
 choose_other (Fixture *self)
 {
@@ -229,7 +230,8 @@
     }
 }
 
-/* Time passes in small steps with all datagrams delivered. */
+/* Advances the clock in small steps; all datagrams are delivered. If `confirmed`, the instances
+ * that query the store are confirmed at each step. */
 static void
 pass (Fixture *self, KnlTime time, gboolean confirmed)
 {
@@ -268,10 +270,10 @@
 }
 
 /*
- * Symptom: a key works longer than its bound after it was taken away.
- * Sequence: an instance asks; it freezes, or the answer is held up on the way, for three seconds;
+ * Symptom: a key works longer than its bound after it was withdrawn.
+ * Sequence: an instance sends a request; it freezes, or the answer is delayed, for three seconds;
  * meanwhile a configuration without the key is acknowledged.
- * Cause: the confirmation was counted from when the answer was read.
+ * Cause: the age of the confirmation was counted from when the answer was read.
  */
 static void
 test_late_answers_are_old (void)
@@ -284,7 +286,8 @@
   fixture_open (&fixture);
   other = choose_other (&fixture);
   pass (&fixture, 2 * TICK, TRUE);
-  /* Questions leave now, and nobody reads for a while, the one that is to answer included. */
+  /* Requests are sent now, and no instance reads for a while, including the one that will answer.
+   */
   pass (&fixture, 2 * TICK - STEP, FALSE);
   knl_paused_clock_advance (fixture.clock, STEP);
   asked_at = knl_kernel_now (fixture.kernel);
@@ -297,9 +300,10 @@
 }
 
 /*
- * Symptom: as above, with an instance that is cut off from the store.
- * Sequence: none that asks the store has an answer any more; they confirm each other for ever.
- * Cause: an age that was told was not added to.
+ * Symptom: a key works longer than its bound after it was withdrawn, at an instance cut off from
+ * the store.
+ * Sequence: no instance gets answers from the store any more; they confirm each other forever.
+ * Cause: the age stated in an answer was not added.
  */
 static void
 test_ages_add_up (void)
@@ -321,7 +325,7 @@
 
 /*
  * Symptom: an instance serves by an older configuration after others have a newer one.
- * Sequence: its feed says nothing, and its peers confirm theirs.
+ * Sequence: its feed is silent, and its peers confirm their own version.
  * Cause: a confirmation of another version was taken for one of its own.
  */
 static void
@@ -354,7 +358,8 @@
     }
 }
 
-/* Guards against a cell that turns to the store while its followers send it what is newer. */
+/* Guards against a cell that queries the store while its followers are already sending it the
+ * update. */
 static void
 test_news_under_way_are_not_asked_for (void)
 {
@@ -378,9 +383,9 @@
 }
 
 /*
- * Symptom: requests reach an endpoint seconds after it said that it leaves.
- * Sequence: the store swallowed an instance's question about endpoints; peers have the newer entry.
- * Cause: nothing but the question's own limit of some seconds ended it.
+ * Symptom: requests reach an endpoint seconds after it announced that it leaves.
+ * Sequence: an instance's request for endpoints is lost at the store; peers have the newer entry.
+ * Cause: only the request's own timeout of some seconds ended it.
  */
 static void
 test_newer_endpoints_are_asked_for (void)
@@ -404,9 +409,9 @@
 
 /*
  * Symptom: all instances of a zone refuse callers some seconds after the zone was cut off from the
- * store, while they reach those of other zones, which the store answers.
- * Sequence: an instance that is cut off asks another zone's relay, which has never heard of it.
- * Cause: the question said only the hash of its sender's name, and was passed over.
+ * store, although they reach instances of other zones, which the store answers.
+ * Sequence: an instance that is cut off queries another zone's relay, which doesn't know it.
+ * Cause: the request held only the hash of its sender's name, and was ignored.
  */
 static void
 test_other_zones_confirm (void)
@@ -427,7 +432,7 @@
   fixture_close (&fixture);
 }
 
-/* Guards against an answer, of any age, from an instance that has no confirmation yet. */
+/* Guards against an answer, of any age, from an instance that was never confirmed. */
 static void
 test_who_was_never_confirmed_confirms_nothing (void)
 {
@@ -448,15 +453,15 @@
   fixture_close (&fixture);
 }
 
-/* Guards against a confirmation of another era's configuration of the same version. */
+/* Guards against a confirmation by the same version in another era. */
 static void
 test_other_eras_confirm_nothing (void)
 {
   static const struct
   {
-    guint64 era; /* of those that ask the store; the other one is in era 2 */
+    guint64 era; /* of those that query the store; the other one is in era 2 */
     gboolean confirms;
-    gboolean asks; /* for what it has missed */
+    gboolean asks; /* queries the store for the update that it missed */
   } rows[] = { { 2, TRUE, FALSE }, { 3, FALSE, TRUE }, { 1, FALSE, FALSE }, { 0, FALSE, FALSE } };
 
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
@@ -481,7 +486,7 @@
     }
 }
 
-/* Guards against a withdrawn key that works again where the store has lost its withdrawal. */
+/* Guards against a withdrawn key that is valid again because the store has lost its withdrawal. */
 static void
 test_a_lost_configuration_is_remembered (void)
 {
@@ -501,7 +506,7 @@
     }
   pass (&fixture, KNL_SEC, TRUE);
   CU_ASSERT_TRUE (sv_confirm_lacks_config (other->confirm, knl_kernel_now (fixture.kernel)));
-  /* What the store said before anybody had the newer one is no contradiction. */
+  /* An answer from before any peer had the newer version is no contradiction. */
   CU_ASSERT_FALSE (sv_confirm_lacks_config (other->confirm, before));
   other->version = 7;
   CU_ASSERT_FALSE (sv_confirm_lacks_config (other->confirm, knl_kernel_now (fixture.kernel)));
--- a/tests/unit/sv_era_test.c
+++ b/tests/unit/sv_era_test.c
@@ -1,4 +1,4 @@
-/** What the store's eras leave alone: requests in flight, and what is known of endpoints. */
+/** A new era of the store doesn't change requests in flight, or what is known of endpoints. */
 
 #include <string.h>
 
@@ -23,7 +23,8 @@
   return NULL;
 }
 
-/* The list as the store tells it in an era, all entries as of `version`; `n` of the endpoints. */
+/* Applies the list as the store sends it in an era, with all entries at `version` and the first `n`
+ * of the endpoints. */
 static void
 tell_list (SvFixture *self, guint64 era, guint64 version, guint n)
 {
@@ -90,8 +91,8 @@
   sv_endpoint_note_loss (endpoint_of (self, LAPSED), now);
 }
 
-/* Guards against requests that end, and loads, losses and words that are forgotten, when the store
- * comes back from an older copy. */
+/* Guards against requests that end, and loads, losses and advertised signals that are lost, when
+ * the store is restored from an older copy. */
 static void
 test_a_new_era_drops_nothing (void)
 {
@@ -112,7 +113,7 @@
   learn (&fixture);
   for (guint i = 0; i < ENDPOINTS_MOST; i++)
     before[i] = known_of (&fixture, i);
-  /* The copy lacks the newest endpoint, which is written again. */
+  /* The restored copy lacks the newest endpoint, which is then written again. */
   tell_list (&fixture, 2, 40, LAPSED);
   CU_ASSERT_EQUAL (endpoint_of (&fixture, LAPSED)->state, SV_ENDPOINT_LEAVING);
   tell_list (&fixture, 2, 41, ENDPOINTS_MOST);
--- a/tests/unit/sv_limit_kept_test.c
+++ b/tests/unit/sv_limit_kept_test.c
@@ -1,4 +1,5 @@
-/** What endpoints that name a limit get, from one instance and from many. */
+/** The rate of requests that endpoints which advertise a limit get, from one instance and from
+ * many. */
 
 #include <string.h>
 
@@ -8,14 +9,14 @@
 #include "suite.h"
 #include "sv_fixture.h"
 
-/* What the endpoint names, in requests a second, and what it may get in a span: half as much again
- * and some. */
+/* The limit that the endpoint advertises, in requests per second, and the maximum that it may get
+ * in a span: half as much again, and 5 more. */
 #define RATE      2.0
 #define SPAN      (4 * KNL_SEC)
 #define SPAN_MOST ((guint)(1.5 * RATE * SPAN / KNL_SEC) + 5)
 
-/* Less than this in a span, and the endpoint's own capacity lies idle beside callers that want it.
- */
+/* With fewer requests than this in a span, the endpoint's own capacity is idle although callers
+ * want it. */
 #define SPAN_LEAST ((guint)(0.5 * RATE * SPAN / KNL_SEC))
 
 #define ANSWER(fields) "HTTP/1.1 200 OK\r\n" SIGNED fields "Content-Length: 4\r\n\r\ngood"
@@ -23,7 +24,7 @@
 static const ScriptedAnswer good = { ANSWER (""), FALSE };
 static const ScriptedAnswer limited = { ANSWER ("Server-Limit: 2.0\r\n"), FALSE };
 
-/* Guards against an instance that passes a limit on to its caller and goes on as before. */
+/* Guards against an instance that reports a limit to its caller and goes on sending as before. */
 static void
 test_one_instance_keeps_a_limit (void)
 {
@@ -49,7 +50,8 @@
 
 #define INSTANCES 6
 
-/* Requests come this often to one of the instances, and each takes so long at its endpoint. */
+/* Interval of requests, each to the next instance, and the number of intervals that each takes at
+ * its endpoint. */
 #define CALL_INTERVAL (20 * KNL_MSEC)
 #define CALL_STEPS    2
 
@@ -59,9 +61,9 @@
 {
   PeersFixture peers;
   SvConfig *config;
-  GArray *arrivals;                /* KnlTime, at the endpoint that names a limit */
-  SvEndpoint *running[CALL_STEPS]; /* where the newest requests are; NULL: nowhere */
-  guint sender[CALL_STEPS];        /* the instance of each */
+  GArray *arrivals;                /* KnlTime, at the endpoint that advertises a limit */
+  SvEndpoint *running[CALL_STEPS]; /* endpoints of the newest requests; NULL: not placed */
+  guint sender[CALL_STEPS];        /* the instance that sent each */
   guint n_calls;
 } Many;
 
@@ -83,7 +85,7 @@
   g_array_unref (self->arrivals);
 }
 
-/* The endpoint answers instance `i`, and names `rate`. */
+/* The endpoint answers instance `i` and advertises `rate`. */
 static void
 many_name (Many *self, guint i, double rate)
 {
@@ -103,7 +105,7 @@
   link->klass->load_changed (link);
 }
 
-/* A request comes to an instance; one that came before has been answered. */
+/* A request arrives at an instance; an earlier one has been answered. */
 static void
 many_call (Many *self)
 {
@@ -137,7 +139,7 @@
     }
 }
 
-/* Arrivals in the span that has most of them. */
+/* Arrivals in the span with the most of them. */
 static guint
 many_most_in_a_span (const Many *self)
 {
@@ -155,7 +157,7 @@
   return most;
 }
 
-/* Guards against instances that each keep to the limit alone, and exceed it together. */
+/* Guards against instances that each keep to the limit on their own, but exceed it together. */
 static void
 test_instances_keep_a_limit_together (void)
 {
@@ -170,7 +172,7 @@
   many_close (&many);
 }
 
-/* Guards against zones that don't hear each other, and use the whole limit each. */
+/* Guards against zones that are cut off from each other and use the whole limit each. */
 static void
 test_cut_off_zones_share_a_limit (void)
 {
@@ -179,7 +181,7 @@
   many_open (&many, 3);
   many_name (&many, 0, RATE);
   peers_fixture_pass (&many.peers, PEERS_ACROSS);
-  /* What the other zone's instances send is not delivered any more. */
+  /* Datagrams of the other zone's instances are no longer delivered. */
   for (guint i = 0; i < INSTANCES / 2; i++)
     peers_fixture_stop (&many.peers, i);
   peers_fixture_pass (&many.peers, 6 * PEERS_BEAT);
@@ -195,7 +197,7 @@
   many_close (&many);
 }
 
-/* Guards against a limit that outlives its need at instances that did not hear of the end. */
+/* Guards against a limit that stays in use at instances that didn't receive its end. */
 static void
 test_the_end_of_a_limit_is_told (void)
 {
@@ -213,7 +215,8 @@
   many_close (&many);
 }
 
-/* Guards against counts that stay wrong after an instance with a limit's counts starts again. */
+/* Guards against counts of sent requests that stay wrong after an instance that holds them is
+ * restarted. */
 static void
 test_a_limit_outlives_restarts (void)
 {
@@ -242,7 +245,7 @@
   many_close (&many);
 }
 
-/* Guards against datagrams that grow for endpoints that never named a limit. */
+/* Guards against datagrams that grow for endpoints that never advertised a limit. */
 static void
 test_no_limit_is_not_told (void)
 {
@@ -269,7 +272,7 @@
   *(guint *)data += strstr (line, "datagram-too-large") != NULL;
 }
 
-/* Guards against datagrams that are not sent, since limits make them too large. */
+/* Guards against datagrams that aren't sent because limits make them too large. */
 static void
 test_many_limits_fit_into_datagrams (void)
 {
@@ -303,7 +306,8 @@
   many_close (&many);
 }
 
-/* Instances before one endpoint, which hear of each other's sends late. */
+/* Instances that share one endpoint and receive each other's counts of sent requests with a delay.
+ */
 #define HERD       200
 #define HERD_DELAY (100 * KNL_MSEC)
 #define HERD_STEP  (5 * KNL_MSEC)
@@ -312,7 +316,7 @@
 typedef struct
 {
   SvFleet *fleets[HERD];
-  guint senders[HERD_STEPS]; /* 1 + the instance that sent then; 0: none did */
+  guint senders[HERD_STEPS]; /* 1 + the instance that sent in that step; 0: none */
 } Herd;
 
 static SvEndpoint *
@@ -338,7 +342,7 @@
     }
 }
 
-/* All others hear of what was sent `HERD_DELAY` before. */
+/* Reports to all others what was sent HERD_DELAY ago. */
 static void
 herd_tell (Herd *self, guint step)
 {
@@ -376,7 +380,7 @@
   return most;
 }
 
-/* Guards against many instances that all take what has just become free. */
+/* Guards against many instances that all use the same newly available allowance. */
 static void
 test_a_herd_keeps_a_limit (void)
 {
--- a/tests/unit/sv_outdated_test.c
+++ b/tests/unit/sv_outdated_test.c
@@ -1,4 +1,4 @@
-/** Instances that know of a configuration that they do not have. */
+/** Instances that know of a newer configuration but don't have it. */
 
 #include <string.h>
 
@@ -6,7 +6,7 @@
 #include "suite.h"
 #include "sv_fixture.h"
 
-/* The fixture's bound is 1,250 ms, of which half is used. */
+/* The fixture's bound is 1,250 ms, of which half is used here. */
 #define BEFORE (600 * KNL_MSEC)
 #define PAST   (640 * KNL_MSEC)
 
@@ -26,7 +26,7 @@
 {
   static const struct
   {
-    KnlTime age; /* of the first word of a newer one; KNL_NEVER: there was none */
+    KnlTime age; /* of the first report of a newer one; KNL_NEVER: there was none */
     const char *path;
     const char *wanted;
     gboolean is_ready;
@@ -63,13 +63,14 @@
   guint64 version;
 } Told;
 
-/* Guards against instances that are always one version behind and count from the newest. */
+/* Guards against an instance that is always one version behind and counts its staleness from the
+ * newest version only. */
 static void
 test_it_is_missed_since_the_first_word (void)
 {
   static const struct
   {
-    Told told[4]; /* by peers */
+    Told told[4]; /* reports by peers */
     guint64 own;
     KnlTime now;
     KnlTime since;
@@ -95,7 +96,7 @@
     }
 }
 
-/* Guards against a row of configurations longer than what is kept of it. */
+/* Guards against a sequence of configurations that is longer than the number of rows kept. */
 static void
 test_a_long_row_is_missed_since_its_first (void)
 {
--- a/tests/unit/sv_peers_test.c
+++ b/tests/unit/sv_peers_test.c
@@ -1,4 +1,4 @@
-/** Instances that tell each other what they do, over datagrams that may be lost. */
+/** Exchange of loads, prefills and losses between instances, with lost datagrams. */
 
 #include <string.h>
 
@@ -30,9 +30,9 @@
 }
 
 /*
- * Symptom: several instances fill one endpoint, or read long prompts there at once.
+ * Symptom: several instances fill one endpoint, or prefill long prompts there at the same time.
  * Sequence: one places a prompt; another places its own on the same endpoint right after.
- * Cause: what one placed reached the others too late, or not at all.
+ * Cause: the first placement reached the other instances too late, or not at all.
  */
 static void
 test_load_and_reads_are_told (void)
@@ -68,10 +68,10 @@
 }
 
 /*
- * Symptom: an endpoint looks free between two whole datagrams, or busy for ever.
- * Sequence: a peer's load is told once; heartbeats without loads follow, and only then the next
- * whole datagram. Later the word that its requests have ended is lost.
- * Cause: a heartbeat was taken to say that nothing is in flight, or whole datagrams never came.
+ * Symptom: an endpoint looks idle between two full datagrams, or busy forever.
+ * Sequence: a peer's load is announced once; heartbeats without loads follow, and then the next
+ * full datagram. Later the datagram that announces the end of its requests is lost.
+ * Cause: a heartbeat was handled as if nothing were in flight, or full datagrams were never sent.
  */
 static void
 test_loads_outlive_heartbeats_and_are_mended (void)
@@ -92,7 +92,7 @@
       event_base_loop (fixture.base, EVLOOP_NONBLOCK);
       CU_ASSERT_EQUAL (peers_fixture_load (&fixture, 0).calls, 3);
     }
-  /* Its change is not told by itself. */
+  /* This change isn't announced on its own. */
   sv_endpoint_charge (peers_fixture_endpoint (&fixture, 1), &load, -1);
   while (peers_fixture_load (&fixture, 0).calls != 0 && steps++ < 100)
     {
@@ -104,10 +104,11 @@
 }
 
 /*
- * Symptom: an instance that has started again is not named to callers, and its requests are not
- * counted, until its clock has caught up.
- * Sequence: its time of day jumps back; it is killed and starts again with a lower incarnation.
- * Cause: incarnations are times of day, and a lower one was taken for an earlier start's datagram.
+ * Symptom: an instance that was restarted isn't listed to callers, and its requests aren't counted,
+ * until its clock has caught up.
+ * Sequence: its wall clock jumps back; it is killed and starts again with a lower incarnation.
+ * Cause: incarnations are wall-clock times, and datagrams with a lower one were dropped as those of
+ * an earlier start.
  */
 static void
 test_restart_after_the_clock_jumped_back (void)
@@ -130,9 +131,9 @@
 }
 
 /*
- * Symptom: callers are sent to an instance that is gone, or keep counting its requests.
- * Sequence: an instance loses power; nothing more is heard of it.
- * Cause: its last word was believed for ever.
+ * Symptom: callers are sent to an instance that is down, or its requests are still counted.
+ * Sequence: an instance loses power and sends nothing more.
+ * Cause: its last datagram was relied on indefinitely.
  */
 static void
 test_silent_peer_is_left_out (void)
@@ -151,7 +152,7 @@
   before = sv_peers_ready_addresses (fixture.peers[0], "a", 10);
   CU_ASSERT_EQUAL (before->len, 3);
   CU_ASSERT_STRING_EQUAL (g_ptr_array_index (before, 2), "10.0.0.1:80");
-  /* Nothing is read from the sockets any more: all peers are silent. */
+  /* The sockets aren't read from here on, so all peers are silent. */
   knl_paused_clock_advance (fixture.clock, 2 * KNL_SEC);
   after = sv_peers_ready_addresses (fixture.peers[0], "a", 10);
   CU_ASSERT_EQUAL (after->len, 1);
@@ -159,7 +160,7 @@
   peers_fixture_close (&fixture);
 }
 
-/* What one instance loses at its endpoint number `i`. */
+/* Instance `i` reports a lost request at its endpoint. */
 static void
 lose (PeersFixture *self, guint i)
 {
@@ -176,10 +177,10 @@
 }
 
 /*
- * Symptom: an endpoint that resets every request is found out by each instance anew; of 80, 77 lost
- * requests there, one after the other.
+ * Symptom: each instance detects anew that an endpoint resets every request; of 80 instances, 77
+ * lost requests there, one after the other.
  * Sequence: two instances lose a request each within a second; a third one places its own there.
- * Cause: what an instance had seen of an endpoint it kept to itself.
+ * Cause: losses weren't shared between instances.
  */
 static void
 test_losses_of_two_are_believed (void)
@@ -189,17 +190,17 @@
 
   fixture_open (&fixture);
   lose (&fixture, 0);
-  /* One alone may be cut off or sick itself. */
+  /* A single instance may itself be cut off or faulty. */
   CU_ASSERT_FALSE (is_doubted_at (&fixture, 2));
   lose (&fixture, 0);
   CU_ASSERT_FALSE (is_doubted_at (&fixture, 2));
   lose (&fixture, 1);
   CU_ASSERT_TRUE (is_doubted_at (&fixture, 2));
-  /* Our own answer of just now speaks louder. */
+  /* An answer that the instance itself just received outweighs the reports. */
   CU_ASSERT_TRUE (sv_endpoint_note_success (peers_fixture_endpoint (&fixture, 2),
                                             knl_kernel_now (fixture.kernel)));
   CU_ASSERT_FALSE (is_doubted_at (&fixture, 2));
-  /* An answer that one of them gets lets it back everywhere. */
+  /* An answer to one instance clears the endpoint at all of them. */
   lose (&fixture, 1);
   link = sv_peers_link (fixture.peers[2]);
   link->klass->health_changed (link, peers_fixture_endpoint (&fixture, 2), FALSE);
@@ -208,7 +209,8 @@
   peers_fixture_close (&fixture);
 }
 
-/* One that loses requests everywhere is the one that is cut off. */
+/* Guards against reports from an instance that loses requests at all endpoints, as it is probably
+ * cut off itself. */
 static void
 test_who_loses_everywhere_is_not_believed (void)
 {
--- a/tests/unit/sv_restart_test.c
+++ b/tests/unit/sv_restart_test.c
@@ -1,4 +1,4 @@
-/** An endpoint that starts again under the id that it had. */
+/** Endpoints that are restarted and register again under the same id. */
 
 #include <string.h>
 
@@ -61,12 +61,11 @@
 }
 
 /*
- * An engine seems full and rests although it has just started.
- *
- * It ran four requests, had a long prompt to read and had lost some when its
+ * Symptom: an engine that has just started seems full, and its backoff still applies.
+ * Sequence: it ran four requests, had a long prompt to prefill and had lost some requests when its
  * process crashed; a second later it registers under the same id.
- *
- * Loads, reading and health are kept by endpoint, and the id alone named it.
+ * Cause: loads, prefills and health are kept by endpoint, and the endpoint was identified by its id
+ * alone.
  */
 static void
 test_nothing_of_before_holds (void)
@@ -93,14 +92,13 @@
   CU_ASSERT_EQUAL (sv_endpoint_load (endpoint, knl_kernel_now (fixture.kernel)).calls, 0);
   CU_ASSERT_EQUAL (sv_endpoint_read_left (endpoint, knl_kernel_now (fixture.kernel)), 0);
   CU_ASSERT_TRUE (sv_endpoint_usable (endpoint, knl_kernel_now (fixture.kernel)));
-  /* What peers still tell of the start before is not taken for this one's. */
+  /* Later reports by peers about the previous start don't apply to this one. */
   CU_ASSERT_NOT_EQUAL (endpoint->key, key_before);
   CU_ASSERT_PTR_NULL (sv_fleet_by_key (fixture.fleet, key_before));
   sv_fixture_close (&fixture);
 }
 
-/* A list that was read from before the restart, or an entry that doesn't say its start, changes
- * nothing. */
+/* A list from before the restart, or an entry without a start, changes nothing. */
 static void
 test_entries_that_are_not_newer (void)
 {
@@ -130,12 +128,10 @@
 }
 
 /*
- * Requests wait for seconds for an engine that is up and idle.
- *
- * It went dark with their connections open, and its entry tells a new start.
- *
- * Only their own silence ended them. What may run again goes elsewhere at once;
- * what may run once is answered at once, without a promise.
+ * Symptom: requests wait for seconds for an engine that is up and idle.
+ * Sequence: its host failed with their connections open, and its entry has a new start.
+ * Cause: only the requests' own timeouts for silence ended them. An idempotent request must go to
+ * another endpoint at once; any other one is answered at once, without stating whether it ran.
  */
 static void
 test_requests_in_flight_are_lost (void)
@@ -166,13 +162,14 @@
       sv_fixture_wait_for (&fixture, "\r\n\r\n");
       CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, rows[i].answer));
       CU_ASSERT_EQUAL (sv_fixture_all_requests (&fixture), rows[i].sends);
-      /* The new start is charged with nothing of it. */
+      /* The new start isn't charged for any of it. */
       CU_ASSERT_EQUAL (endpoint_at (&fixture, 0)->own.calls, 0);
       sv_fixture_close (&fixture);
     }
 }
 
-/* Guards against entries that are written again, with lower versions, and taken for old. */
+/* Guards against entries that are written again in a new era, with lower versions, and are ignored
+ * as old. */
 static void
 test_entries_of_another_era (void)
 {
@@ -181,7 +178,7 @@
   {
     SvPosition revision;
     gboolean draining;
-    SvEndpointState state; /* then */
+    SvEndpointState state; /* expected */
   } rows[] = {
     { { 1, 50 }, FALSE, SV_ENDPOINT_READY },   { { 1, 51 }, TRUE, SV_ENDPOINT_LEAVING },
     { { 1, 50 }, FALSE, SV_ENDPOINT_LEAVING }, { { 2, 7 }, FALSE, SV_ENDPOINT_READY },
