--- a/tests/unit/sv_cells_test.c
+++ b/tests/unit/sv_cells_test.c
@@ -281,10 +281,10 @@
 static const SuiteCase cases[] = {
   { "sums are known everywhere", test_sums_are_known_everywhere },
   { "a lost relay is replaced", test_a_lost_relay_is_replaced },
-  { "a silent cell is left out", test_a_silent_cell_is_left_out },
-  { "an instance starts with knowledge", test_an_instance_starts_with_knowledge },
-  { "one speaks for a cell", test_one_speaks_for_a_cell },
-  { "who is turned away is passed over", test_who_is_turned_away_is_passed_over },
+  { "a silent cell is ignored", test_a_silent_cell_is_left_out },
+  { "a started instance gets a snapshot", test_an_instance_starts_with_knowledge },
+  { "one relay is accepted for a cell", test_one_speaks_for_a_cell },
+  { "rejected followers are skipped", test_who_is_turned_away_is_passed_over },
   { "followers are the strongest", test_followers_are_the_strongest },
 };
 
--- a/tests/unit/sv_confirm_test.c
+++ b/tests/unit/sv_confirm_test.c
@@ -523,15 +523,15 @@
 
 static const SuiteCase cases[] = {
   { "other zones confirm", test_other_zones_confirm },
-  { "few ask and all know", test_few_ask_and_all_know },
+  { "few query the store and all are confirmed", test_few_ask_and_all_know },
   { "late answers are old", test_late_answers_are_old },
   { "ages add up", test_ages_add_up },
   { "other versions confirm nothing", test_other_versions_confirm_nothing },
-  { "news under way are not asked for", test_news_under_way_are_not_asked_for },
+  { "updates on their way are not requested", test_news_under_way_are_not_asked_for },
   { "other eras confirm nothing", test_other_eras_confirm_nothing },
   { "a lost configuration is remembered", test_a_lost_configuration_is_remembered },
-  { "newer endpoints are asked for", test_newer_endpoints_are_asked_for },
-  { "who was never confirmed confirms nothing", test_who_was_never_confirmed_confirms_nothing },
+  { "newer endpoints are requested", test_newer_endpoints_are_asked_for },
+  { "a never confirmed instance confirms nothing", test_who_was_never_confirmed_confirms_nothing },
 };
 
 SUITE_MAIN ("sv_confirm", cases)
--- a/tests/unit/sv_limit_kept_test.c
+++ b/tests/unit/sv_limit_kept_test.c
@@ -417,9 +417,9 @@
   { "one instance keeps a limit", test_one_instance_keeps_a_limit },
   { "instances keep a limit together", test_instances_keep_a_limit_together },
   { "cut-off zones share a limit", test_cut_off_zones_share_a_limit },
-  { "the end of a limit is told", test_the_end_of_a_limit_is_told },
+  { "the end of a limit is announced", test_the_end_of_a_limit_is_told },
   { "a limit outlives restarts", test_a_limit_outlives_restarts },
-  { "no limit is not told", test_no_limit_is_not_told },
+  { "an absent limit is not announced", test_no_limit_is_not_told },
   { "a herd keeps a limit", test_a_herd_keeps_a_limit },
   { "many limits fit into datagrams", test_many_limits_fit_into_datagrams },
 };
--- a/tests/unit/sv_outdated_test.c
+++ b/tests/unit/sv_outdated_test.c
@@ -112,9 +112,9 @@
 }
 
 static const SuiteCase cases[] = {
-  { "who lacks a configuration serves nobody", test_who_lacks_a_configuration_serves_nobody },
-  { "it is missed since the first word", test_it_is_missed_since_the_first_word },
-  { "a long row is missed since its first", test_a_long_row_is_missed_since_its_first },
+  { "a stale instance refuses callers", test_who_lacks_a_configuration_serves_nobody },
+  { "staleness counts from the first report", test_it_is_missed_since_the_first_word },
+  { "a long sequence counts from its first", test_a_long_row_is_missed_since_its_first },
 };
 
 SUITE_MAIN ("sv_outdated", cases)
--- a/tests/unit/sv_peers_test.c
+++ b/tests/unit/sv_peers_test.c
@@ -227,13 +227,13 @@
 }
 
 static const SuiteCase cases[] = {
-  { "a greeting is enough", test_a_greeting_is_enough },
-  { "load and reads are told", test_load_and_reads_are_told },
-  { "loads outlive heartbeats and are mended", test_loads_outlive_heartbeats_and_are_mended },
+  { "one introduction is enough", test_a_greeting_is_enough },
+  { "load and prefills are announced", test_load_and_reads_are_told },
+  { "loads outlive heartbeats and are repaired", test_loads_outlive_heartbeats_and_are_mended },
   { "a restart after the clock jumped back", test_restart_after_the_clock_jumped_back },
-  { "a silent peer is left out", test_silent_peer_is_left_out },
-  { "losses of two are believed", test_losses_of_two_are_believed },
-  { "who loses everywhere is not believed", test_who_loses_everywhere_is_not_believed },
+  { "a silent peer is ignored", test_silent_peer_is_left_out },
+  { "losses of two peers are accepted", test_losses_of_two_are_believed },
+  { "losses at all endpoints are not accepted", test_who_loses_everywhere_is_not_believed },
 };
 
 SUITE_MAIN ("sv_peers", cases)
--- a/tests/unit/sv_restart_test.c
+++ b/tests/unit/sv_restart_test.c
@@ -200,7 +200,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "nothing of before holds", test_nothing_of_before_holds },
+  { "a restart clears what was known", test_nothing_of_before_holds },
   { "entries that are not newer", test_entries_that_are_not_newer },
   { "requests in flight are lost", test_requests_in_flight_are_lost },
   { "entries of another era", test_entries_of_another_era },
