--- a/serve/peers_take.c
+++ b/serve/peers_take.c
@@ -5,7 +5,7 @@
 
 #include "peers_internal.h"
 
-/* Losses that a peer may report within the window and still be believed: this number, or this
+/* Losses that a peer may report within the window and still be accepted: this number, or this
  * fraction of all endpoints if it is larger. */
 #define TOLD_WINDOW (2 * KNL_SEC)
 #define TOLD_LEAST  4U
