--- a/gateway/era.c
+++ b/gateway/era.c
@@ -1,15 +1,15 @@
-/** The store comes back from an older copy: what was read is read anew, and what this instance
- * wrote is written again. */
+/** Reacts to a restoration of the store from an older copy (a new era): tables are read again, and
+ * this instance writes its own row again. */
 
 #include "gateway.h"
 
-/* Instances write their rows again within this, at random: a store that has just come back is not
- * to be met by all of them at once. */
+/* Instances write their rows again after a random delay of up to this, so that a store that has
+ * just been restored isn't hit by all of them at once. */
 #define ENTER_SPREAD (1200 * KNL_MSEC)
 
 static const CmMetricDef eras_def = {
   .name = "alderturn_store_eras_total",
-  .help = "Times that the store came back from an older copy",
+  .help = "Restorations of the store from an older copy",
   .type = CM_METRIC_COUNTER,
 };
 
--- a/gateway/follow.c
+++ b/gateway/follow.c
@@ -1,32 +1,35 @@
-/** Configuration and endpoints, as they change in the store. */
+/** Feeds of the configuration and the endpoint list. */
 
 #include <string.h>
 
 #include "common/log.h"
 #include "gateway.h"
 
-/* How long the store holds an answer back when nothing changes. Each answer confirms what is known,
- * so the wait for the configuration is a fraction of the time for which keys are trusted. With many
- * instances it is longer: all of their calls together are bounded. */
+/* How long the store holds an answer back when nothing changes. Each answer confirms that the data
+ * is current, so the wait for the configuration is a fraction of the time for which keys may go
+ * unconfirmed. With many instances the wait grows up to CONFIG_WAIT_MOST, which bounds the rate of
+ * all their calls together. */
 #define CONFIG_WAIT      (1200 * KNL_MSEC)
 #define CONFIG_WAIT_MOST (2500 * KNL_MSEC)
 
-/* The same where other instances confirm the configuration: only changes are waited for. A question
- * that the store swallowed is noticed by what they tell of a newer one. */
+/* The wait where peers confirm the configuration, so that only changes are of interest. If the
+ * store drops the query without an answer, peers that announce a newer configuration reveal it. */
 #define CONFIG_WAIT_SHARED (8 * KNL_SEC)
 
-/* Of the read calls that all instances together may make, what the configuration's feeds use. More
- * would be refused, to all of them, just when lists must be read anew. */
+/* The fraction of the read calls allowed to all instances together that configuration feeds may
+ * use. Beyond the allowance the store refuses calls of all instances, just when lists must be read
+ * again. */
 #define CONFIG_READS_PART 0.5
 
 #define ENDPOINTS_WAIT (8 * KNL_SEC)
 
-/* Changes in a row come in one answer: endpoints enter themselves one by one at a start of all, and
- * each would be a call of each instance. A configuration is waited for by callers, an endpoint that
- * leaves may be sent requests for seconds. */
+/* Consecutive changes are collected into one answer: when everything starts, endpoints register
+ * one by one, and each registration would cost a call of each instance. The delay is shorter for
+ * the configuration, since callers wait for it; a removed endpoint may be sent requests for
+ * seconds. */
 #define CONFIG_GATHER (100 * KNL_MSEC)
-/* Of the time in which a configuration must be in force, what changes in a row may wait for each
- * other: fetching and taking in must fit into the rest. */
+/* The fraction of the time in which a configuration must be in force that may be spent on
+ * collecting consecutive changes; fetching and applying it must fit into the rest. */
 #define CONFIG_GATHER_PART 0.25
 #define ENDPOINTS_GATHER   (400 * KNL_MSEC)
 
@@ -35,7 +38,7 @@
 {
 }
 
-/* Times are ages: of the question, of the first and the last byte of its answer. */
+/* The `-us` fields are ages: of the query, and of the first and the last byte of its answer. */
 static void
 log_decoded (const Gateway *self, const SvConfig *config)
 {
@@ -106,7 +109,7 @@
   return MIN (MAX (CONFIG_WAIT, least), CONFIG_WAIT_MOST);
 }
 
-/* Others are told what this instance has, and see what they have missed. */
+/* Announces the versions in use here to peers, which detect by them what they have missed. */
 static void
 note_versions (Gateway *self)
 {
@@ -129,7 +132,7 @@
   note_versions (self);
   pl_mirror_tell (self->mirror);
   pl_feed_set_wait (self->config_feed, config_wait (self));
-  /* What another instance has may be old; its age is asked for. */
+  /* Data from a peer may be old; sv_confirm finds out its age. */
   if (self->peer_store == NULL && !sv_confirm_lacks_config (self->confirm, at))
     sv_core_confirm (self->core, at);
   else if (self->peer_store != NULL)
@@ -143,8 +146,8 @@
   gateway_note_source_lost (data);
 }
 
-/* A store that was away may have swallowed the other feed's question too, whose own time limit is
- * longer: leaving endpoints would be seen seconds late. */
+/* A store that was unavailable may have dropped the query of the endpoint feed too. That feed's
+ * own timeout is longer, so endpoints that leave would be noticed seconds late. */
 static void
 on_config_regained (gpointer data)
 {
@@ -187,7 +190,7 @@
   sv_core_confirm (((Gateway *)data)->core, at);
 }
 
-/* Without a wait the store's answer confirms the moment of the question. */
+/* Without a wait the store answers at once, and its answer confirms the time of the query. */
 static void
 confirm_ask_store (gpointer data)
 {
@@ -218,7 +221,7 @@
   return pl_feed_position (self->endpoints_feed);
 }
 
-/* What is arriving is heard. */
+/* While an answer is being received, its source counts as last seen now. */
 static KnlTime
 heard_at (const Gateway *self, const PlFeed *feed, KnlTime last_at)
 {
@@ -235,7 +238,7 @@
   return heard_at (self, self->endpoints_feed, self->endpoints_heard_at);
 }
 
-/* Whoever was asked says nothing, or knows less than another. */
+/* The current source doesn't answer, or has older data than a peer. */
 static void
 ask_again (Gateway *self, PlFeed *feed)
 {
@@ -292,7 +295,7 @@
   sv_fleet_end_list (((Gateway *)data)->fleet);
 }
 
-/* Another writer may fill the table. */
+/* Rate-limited, as another writer may fill the table. */
 static void
 log_unreadable (Gateway *self, const PlRow *row)
 {
@@ -327,8 +330,8 @@
     }
   else
     {
-      /* Written by something else than an endpoint: it names none, not even the one that it named
-       * before. */
+      /* The row wasn't written by an endpoint. It describes none, so the endpoint that it
+       * described before is removed too. */
       log_unreadable (self, row);
       sv_fleet_remove (self->fleet, row->key);
     }
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** The parts of alderturn-gateway; only its own files include this. */
+/** Shared declarations of alderturn-gateway; included by the files in gateway/ only. */
 
 #include "common/log.h"
 #include "http/server.h"
@@ -34,115 +34,117 @@
   HtServer *directory;
   HtServer *metrics_server;
   SvConfirm *confirm;
-  PlFeed *config_feed; /* both NULL until a source is chosen */
+  PlFeed *config_feed; /* both feeds are NULL until a source is chosen */
   PlFeed *endpoints_feed;
   PlConfigDecoder *config_decoder;
-  gboolean reads_config;   /* the value that comes in pieces is a configuration */
-  KnlTime config_heard_at; /* last answer of its feed */
+  gboolean reads_config;   /* the value being received is a configuration */
+  KnlTime config_heard_at; /* when the configuration feed was last answered */
   PlMirror *mirror;
-  PlStore *peer_store; /* of the instance that the feeds ask; NULL: they ask the store */
-  char *peer_address;  /* its link address */
-  char *avoided;       /* link address of an instance that didn't answer, or NULL */
+  PlStore *peer_store; /* the peer that the feeds query; NULL: they query the store */
+  char *peer_address;  /* link address of `peer_store` */
+  char *avoided;       /* link address of a peer that didn't answer, or NULL */
   KnlTime avoided_until;
-  KnlTime store_until;      /* the store is asked, whoever else there is */
-  KnlTime others_until;     /* others are asked, since the store doesn't answer */
-  KnlTime store_lost_at;    /* 0: it answers */
-  KnlTime members_known_at; /* 0: the list of members was not read yet */
+  KnlTime store_until;      /* until then the store is queried, even if a follower is available */
+  KnlTime others_until;     /* until then followers are queried, as the store doesn't answer */
+  KnlTime store_lost_at;    /* 0: the store answers */
+  KnlTime members_known_at; /* 0: the list of members hasn't been read yet */
   KnlTime started_at;
   KnlTimerId source_timer;
-  SvPosition endpoints_revision; /* newest row of the endpoints' table that has come */
-  KnlTime endpoints_heard_at;    /* last answer of their feed */
-  CmLogLimit unreadable;         /* entries of endpoints that name none */
+  SvPosition endpoints_revision; /* newest row received from the endpoint table */
+  KnlTime endpoints_heard_at;    /* when the endpoint feed was last answered */
+  CmLogLimit unreadable;         /* endpoint rows that can't be decoded */
   PlCall *member_call;
-  PlAnswer *member_page; /* of the list, that is being taken in; NULL: none */
-  guint next_member;     /* row of it */
+  PlAnswer *member_page; /* page of the list being processed; NULL: none */
+  guint next_member;     /* index of the next row in `member_page` */
   KnlJobId member_job;
   KnlTimerId member_timer;
   KnlTime look_delay;
-  gboolean is_entered;    /* the list of members has named this instance */
-  gboolean is_listed;     /* the pages of it that have come have */
-  guint64 era;            /* of the store, newest that was seen; 0: none */
-  CmSeries *eras;         /* counts those after the first */
-  KnlTimerId enter_timer; /* this instance's row is to be written again */
+  gboolean is_entered;    /* the last list read had the current row of this instance */
+  gboolean is_listed;     /* the pages read so far had it */
+  guint64 era;            /* newest era seen of the store; 0: none */
+  CmSeries *eras;         /* counts eras after the first */
+  KnlTimerId enter_timer; /* writes this instance's row again */
   KnlTimerId tick_timer;
-  KnlTime drain_since;    /* 0: no drain */
-  gint64 boot_changed_at; /* the settings file's modification time, s */
+  KnlTime drain_since;    /* 0: not draining */
+  gint64 boot_changed_at; /* modification time of the settings file, in seconds */
   struct event *reload_signal;
-  GHashTable *turn_series; /* name of a callback -> CmSeries */
-  KnlTime turn_limit;      /* a callback that takes longer is logged */
+  GHashTable *turn_series; /* callback name -> CmSeries */
+  KnlTime turn_limit;      /* callbacks that take longer are logged */
   CmLogLimit long_turns;
 } Gateway;
 
 /* main.c */
 
-/** Whether callers are to come here. */
+/** Whether this instance should receive new callers. */
 gboolean gateway_is_ready (const Gateway *self);
 
 /* servers.c */
 
-/** Opens the listening sockets; FALSE: one can't be opened, which was logged. */
+/** Opens the listening sockets. Returns FALSE, and logs the failure, if one can't be opened. */
 gboolean gateway_open_servers (Gateway *self);
 void gateway_close_servers (Gateway *self);
 
-/** Has callers' connections keep to the limits of the configuration in use. */
+/** Applies the limits of the configuration in use to callers' connections. */
 void gateway_apply_limits (Gateway *self);
 
 /* follow.c */
 
-/** Follows configuration and endpoints in the store. */
+/** Starts to follow the configuration and the endpoint list. */
 void gateway_start_following (Gateway *self);
 void gateway_stop_following (Gateway *self);
 
-/** Starts to ask `store`; the first time the feeds are made. */
+/** Sets the store or peer that the feeds query; creates the feeds on the first call. */
 void gateway_follow (Gateway *self, PlStore *store);
 
 /* source.c */
 
-/** Chooses whom the feeds ask, now and from time to time. */
+/** Starts to choose the source that the feeds query; the choice is reviewed periodically. */
 void gateway_start_source (Gateway *self);
 void gateway_stop_source (Gateway *self);
 
-/** The list of members has been read. */
+/** Called when the list of members has been read completely. */
 void gateway_note_members (Gateway *self);
 
-/** Whoever the feeds ask knows less than others, or nothing: the store is asked for a while. */
+/** The peer that the feeds query has older data than other peers, or none: queries the store for a
+ * while. Does nothing if the store is the source already. */
 void gateway_ask_store (Gateway *self);
 
-/** Whoever the feeds ask doesn't answer. */
+/** A call to the current source of the feeds failed. */
 void gateway_note_source_lost (Gateway *self);
 
-/** It answers. */
+/** The current source of the feeds answered. */
 void gateway_note_source_answers (Gateway *self);
 
 /* members.c */
 
-/** Enters this instance in the store and looks for others there. */
+/** Registers this instance in the store and discovers other instances there. */
 void gateway_start_membership (Gateway *self);
 
 void gateway_stop_membership (Gateway *self);
 
-/** Writes this instance's row again, whatever the store has. */
+/** Writes this instance's row again, whether or not the store has it. */
 void gateway_enter_again (Gateway *self);
 
 /* era.c */
 
 void gateway_meter_eras (Gateway *self);
 
-/** Has a new era that `store` tells of acted upon. */
+/** Watches for a new era in the answers of `store`, and reacts to it. */
 void gateway_watch_era (Gateway *self, PlStore *store);
 void gateway_stop_watching_era (Gateway *self);
 
 /* turns.c */
 
-/** Has each callback of the loop counted by how long it took. `limit`: of processor time, beyond
- * which one is logged; on a part of a core it takes longer by the clock. */
+/** Measures the duration of each callback of the event loop. A callback that takes more processor
+ * time than `limit` is logged; the limit is raised on an instance with less than one core, where a
+ * callback takes longer by the clock. */
 void gateway_meter_turns (Gateway *self, KnlTime limit);
 void gateway_stop_meter (Gateway *self);
 
 /* reload.c */
 
-/** The settings file was just read. */
+/** Remembers the modification time of the settings file, which was just read. */
 void gateway_note_settings (Gateway *self);
 
-/** Reads the settings file again if it has changed, or in any case. */
+/** Reads the settings file again if its modification time has changed, or always if `always`. */
 void gateway_reload (Gateway *self, gboolean always);
--- a/gateway/main.c
+++ b/gateway/main.c
@@ -1,4 +1,4 @@
-/** alderturn-gateway: the whole of one instance on the users' platform, in one process. */
+/** alderturn-gateway: one complete instance on the users' platform, in one process. */
 
 #include <signal.h>
 #include <stdlib.h>
@@ -9,24 +9,23 @@
 
 #define PROGRAM "alderturn-gateway"
 
-/* How often readiness, endpoints that are gone, the settings file and the end of a drain are looked
- * at. */
+/* How often readiness, removed endpoints, the settings file and the end of a drain are checked. */
 #define TICK (250 * KNL_MSEC)
 
-/* After the order to stop, callers may come for as long as they keep old answers of the directory:
- * three times their time to live. */
+/* After the signal to stop, callers may arrive for as long as they keep old answers of the
+ * directory: three times their time to live. */
 #define DRAIN_LEAST (6500 * KNL_MSEC)
 
-/* Left of the grace when what has not ended is answered, and when the process ends at the latest.
- */
+/* The part of the grace period that remains when unfinished requests are ended with an error, and
+ * when the process exits at the latest. */
 #define DRAIN_ANSWER (900 * KNL_MSEC)
 #define DRAIN_MARGIN (300 * KNL_MSEC)
 
-/* Longest answer taken whole from an endpoint or the store. */
+/* Limits for one answer of an endpoint or the store. */
 #define ANSWER_HEAD_BYTES 32768
 #define ANSWER_BODY_BYTES ((gsize)64 << 20)
 
-/* Idle connections to endpoints and the store are kept at most this long. */
+/* Idle connections to endpoints and the store are closed after this at the latest. */
 #define KEEP_IDLE (20 * KNL_SEC)
 
 static void
@@ -54,8 +53,9 @@
     sv_core_end_all (self->core);
 }
 
-/* An instance that only others keep confirmed is one loss away from refusing all; who comes is
- * served, and callers are named the others. */
+/* An instance that is cut off from the store alone depends on its peers' confirmations: if they
+ * stop, it has to refuse all requests. It serves the callers that arrive, but isn't ready, so that
+ * the directory names other instances. */
 gboolean
 gateway_is_ready (const Gateway *self)
 {
@@ -107,7 +107,7 @@
   sv_core_note_suspect (((Gateway *)data)->core, fingerprint);
 }
 
-/* Kept connections lead to the start before. */
+/* Idle connections lead to the previous process of the endpoint. */
 static void
 on_replaced (SvEndpoint *endpoint, gpointer data)
 {
@@ -190,7 +190,7 @@
   cm_log (CM_LOG_NOTICE, "stopped", "i", "requests", (gint64)sv_core_n_requests (self->core));
 }
 
-/* From what uses others to what is used. */
+/* Frees users of an object before the object. */
 static void
 gateway_close (Gateway *self)
 {
@@ -215,7 +215,7 @@
 static int
 run_gateway (Gateway *self, const GatewaySettings *settings, CmLogSeverity severity)
 {
-  /* The one use of wall time: a process started later has a higher incarnation. */
+  /* The only use of wall time: a process started later has a higher incarnation. */
   guint64 incarnation = (guint64)g_get_real_time ();
   int status = EXIT_FAILURE;
 
@@ -244,7 +244,7 @@
                 CmFindings *findings)
 {
   if (settings->log_severity != NULL && !cm_log_severity_parse (settings->log_severity, severity))
-    cm_findings_add (findings, "flag", 0, 0, "--log-severity", "\"%s\" is no syslog severity",
+    cm_findings_add (findings, "flag", 0, 0, "--log-severity", "\"%s\" is not a syslog severity",
                      settings->log_severity);
   self->boot_path = settings->boot;
   if (settings->boot != NULL)
@@ -265,7 +265,7 @@
   signal (SIGPIPE, SIG_IGN);
   cm_findings_init (&findings);
   action = cm_settings_parse (gateway_settings_table,
-                              "Takes callers' requests to endpoints on the platform.", argc, argv,
+                              "Routes callers' requests to endpoints on the platform.", argc, argv,
                               &settings, NULL, &findings);
   if (action != CM_SETTINGS_EXIT)
     check_settings (&settings, &self, &severity, &findings);
--- a/gateway/members.c
+++ b/gateway/members.c
@@ -1,29 +1,30 @@
-/** How instances find each other: each has a row in the store; what they tell each other after that
- * goes from one to the other. */
+/** Discovery of instances: each has a row in the store. Once discovered, they communicate directly.
+ */
 
 #include <string.h>
 
 #include "common/log.h"
 #include "gateway.h"
 
-/* The list is read at the start. An instance that is not in it enters itself, and reads it again
- * when others that started at the same time have entered themselves: of two the later one sees the
- * other, and greets it. One that is in it from an earlier start has been seen by all, and is ready
- * 0.1 s sooner. A reading that failed is made again after eight times as long each time up to the
- * limit. After that the relay of each cell reads it, to learn of other cells' instances and to
- * remove those of its own that are gone. */
+/* The list of members is read at the start. An instance that isn't in it registers itself, and
+ * reads the list again after FIRST_LOOK, when instances that started at the same time have
+ * registered too: of two instances the later one sees the earlier one and introduces itself. An
+ * instance that is still listed from an earlier start is known to all, and becomes ready 0.1 s
+ * sooner. After a failed read the delay grows by LOOK_FACTOR, eight, up to LOOK_LIMIT. Later only
+ * the relay of each cell reads the list, to discover instances of other cells and to remove rows
+ * of instances of its own cell that no longer run. */
 #define FIRST_LOOK  (40 * KNL_MSEC)
 #define LOOK_LIMIT  (20 * KNL_SEC)
 #define LOOK_FACTOR 8
 
-/* A row that could not be written is tried again after this. */
+/* Delay before a failed write of the own row is retried. */
 #define ENTER_AGAIN (500 * KNL_MSEC)
 
-/* The row of an instance that nothing was heard from for this long is removed: it is gone for good,
- * or cut off from here, and then enters itself again when it starts. */
+/* The row of an instance that has sent nothing for this long is removed: either it no longer runs,
+ * or it is cut off from here, and registers again when it restarts. */
 #define ROW_EXPIRES (60 * KNL_SEC)
 
-/* Rows of the list that are taken in before sockets and timers have their turn. */
+/* Rows of the list processed before the event loop serves sockets and timers again. */
 #define SLICE_ROWS 32
 
 static void enter (gpointer data);
@@ -64,7 +65,7 @@
 void
 gateway_enter_again (Gateway *self)
 {
-  /* The list is being read or written: what comes of that may be of before. */
+  /* A call in progress may return the state from before the change of era. */
   g_clear_pointer (&self->member_call, pl_call_cancel);
   knl_job_stop (self->process.kernel, &self->member_job);
   g_clear_pointer (&self->member_page, pl_answer_free);
@@ -83,7 +84,8 @@
   next (self, self->look_delay, look);
 }
 
-/* TRUE: the row's instance is gone, and the row is being removed unless it changes meanwhile. */
+/* Removes the row of an instance that was last seen ROW_EXPIRES ago or earlier, unless the row
+ * changes meanwhile. Returns whether the removal was started. */
 static gboolean
 remove_if_gone (Gateway *self, const PlRow *row, const char *link)
 {
@@ -95,7 +97,7 @@
   return TRUE;
 }
 
-/* TRUE: it is our own row, as it would be written now. */
+/* Returns TRUE if the row is this instance's own and has its current values. */
 static gboolean
 take_row (Gateway *self, const PlAnswerRow *answer)
 {
--- a/gateway/reload.c
+++ b/gateway/reload.c
@@ -1,4 +1,4 @@
-/** Changes of the settings file while the process runs. */
+/** Reloads the settings file while the process runs. */
 
 #include <sys/stat.h>
 
@@ -20,8 +20,8 @@
 }
 
 /*
- * Names and addresses hold for the life of the process, and other parts point
- * to them; what is read later only brings new bounds.
+ * Only the bounds are reloaded. Names and addresses stay for the life of the process, since other
+ * modules hold pointers to them.
  */
 void
 gateway_reload (Gateway *self, gboolean always)
--- a/gateway/servers.c
+++ b/gateway/servers.c
@@ -1,4 +1,4 @@
-/** The listening sockets: callers, readiness, directory, metrics. */
+/** The listening sockets: callers, readiness, directory, metrics, mirror. */
 
 #include <errno.h>
 #include <string.h>
@@ -6,22 +6,24 @@
 #include "common/log.h"
 #include "gateway.h"
 
-/* Until a configuration states limits for callers. */
+/* Limits for callers until a configuration sets them. */
 #define DEFAULT_HEAD_BYTES   16384
 #define DEFAULT_BODY_BYTES   ((gsize)4 << 20)
 #define DEFAULT_HEAD_TIMEOUT (3 * KNL_SEC)
 #define DEFAULT_IDLE_TIMEOUT (15 * KNL_SEC)
 
-/* Descriptors that are no callers' connections: files, store, listening, and connections to
- * endpoints, of which at times each request has one. */
+/* OTHER_FILES descriptors are reserved for files, the store and listening sockets. Of the rest,
+ * callers' connections get CALLERS_PART, since at times each request also needs a connection to an
+ * endpoint. */
 #define OTHER_FILES      400
 #define CALLERS_PART     0.5
 #define SMALL_SERVER_MAX 256
 
-/* Addresses in one answer of the directory; more would not be used by its callers. */
+/* Addresses in one answer of the directory; callers wouldn't use more. */
 #define DIRECTORY_ADDRESSES 64
 
-/* Callers keep an answer for at most this, so that an instance that stops is left in time. */
+/* Callers cache an answer for at most this long, so that they stop using a stopping instance in
+ * time. */
 #define DIRECTORY_KEEP_S 2
 
 static void
--- a/gateway/settings.h
+++ b/gateway/settings.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** Settings of alderturn-gateway itself; all else stands in the platform's file. */
+/** Command line settings of alderturn-gateway; the rest is in the platform's settings file. */
 
 #include "common/settings.h"
 
--- a/gateway/source.c
+++ b/gateway/source.c
@@ -1,43 +1,43 @@
-/** Whom the feeds of configuration and endpoints ask: the store, or an instance of the same cell
- * that follows it. */
+/** Chooses the source of the configuration feed and the endpoint feed: the store, or an instance of
+ * the same cell that follows the store. */
 
 #include <string.h>
 
 #include "common/log.h"
 #include "gateway.h"
 
-/* How often the choice is looked at, and how soon after a call that failed: a store and instances
- * that all refuse at once are not asked in turn without a pause. */
+/* Interval between reviews of the source, and delay of a review after a failed call. The delay
+ * keeps a store and peers that all refuse at once from being queried in a tight loop. */
 #define CHOOSE_EVERY (100 * KNL_MSEC)
 #define CHOOSE_AGAIN (50 * KNL_MSEC)
 
-/* The same until the first choice: members are greeted when the list has been read, and answer
- * within some ms. */
+/* The interval before the first choice: members are introduced when the list has been read, and
+ * answer within a few milliseconds. */
 #define CHOOSE_FIRST (10 * KNL_MSEC)
 
-/* An instance that can't read the list for this long, or hears nothing of those that follow the
- * store, asks the store itself. All that lose power together are back within 0.3 s of each other.
- */
+/* An instance that can't read the list of members for this long after its start, or receives
+ * nothing from the followers, queries the store itself. Instances that lose power together are
+ * back within 0.3 s of each other. */
 #define MEMBERS_LIMIT (500 * KNL_MSEC)
 
-/* A store that has not answered for this long has turned this instance away, or is away itself; one
- * call that fails says neither. */
+/* A store that hasn't answered for this long either refuses this instance or is unavailable; a
+ * single failed call proves neither. */
 #define CUT_OFF_AFTER (1 * KNL_SEC)
 
-/* One that did not answer is not asked again for this long; it counts as silent by then if it is
- * gone. */
+/* A peer that didn't answer isn't queried again for this long; if it no longer runs, it has been
+ * detected as silent by then. */
 #define AVOID (1500 * KNL_MSEC)
 
-/* How long the store is asked in place of instances that know less than others, and others in place
- * of a store that does not answer. */
+/* How long the store is queried in place of peers with older data, and peers in place of a store
+ * that doesn't answer. */
 #define STORE_SPELL  (2 * KNL_SEC)
 #define OTHERS_SPELL (2 * KNL_SEC)
 
-/* Of the time in which a configuration must be in force, for how long the link may be busy with
- * sending it to those who ask this instance. */
+/* The fraction of the time in which a configuration must be in force for which the link may be
+ * busy with sending it to the instances that query this one. */
 #define SEND_PART 0.25
 
-/* `address`: of an instance, NULL: the store is asked. */
+/* `address`: link address of a peer; NULL: the store. */
 static void
 use_source (Gateway *self, const char *address)
 {
@@ -53,7 +53,7 @@
       self->peer_store = pl_store_new_peer (self->process.kernel, self->store_client, address);
       gateway_watch_era (self, self->peer_store);
     }
-  /* Whoever is asked has not been silent yet. */
+  /* The new source hasn't had time to answer: its silence is counted from now. */
   self->config_heard_at = self->endpoints_heard_at = knl_kernel_now (self->process.kernel);
   gateway_follow (self, address != NULL ? self->peer_store : self->store);
   pl_mirror_set_open (self->mirror, address == NULL);
@@ -61,7 +61,7 @@
   g_free (old_address);
 }
 
-/* An instance of the cell to ask; NULL: the store. */
+/* Returns the link address of the peer to query; NULL: the store. */
 static const char *
 choose (const Gateway *self)
 {
@@ -86,9 +86,9 @@
   pl_mirror_set_limit (self->mirror, (gsize)(SEND_PART * bound * self->boot->link_rate));
 }
 
-/* Another source begins at the first byte again. A list of 3,000 endpoints, or a configuration of
- * thousands of routes, takes a weak instance longer than one source is asked for at a time: it
- * would never have the whole of it. */
+/* A new source starts the transfer from the first byte again. A weak instance may need longer to
+ * receive a list of 3,000 endpoints, or a configuration of thousands of routes, than one source is
+ * used for at a time: if the source changed during a transfer, it would never complete. */
 static gboolean
 is_receiving (const Gateway *self)
 {
@@ -177,7 +177,7 @@
 
   if (self->peer_address != NULL)
     {
-      /* The second one within that time: the store is asked. */
+      /* A second peer failed while the first is still avoided: query the store. */
       if (now < self->avoided_until && g_strcmp0 (self->avoided, self->peer_address) != 0)
         self->store_until = now + STORE_SPELL;
       g_free (self->avoided);
--- a/gateway/turns.c
+++ b/gateway/turns.c
@@ -1,11 +1,11 @@
-/** How long the callbacks of the loop take: while one runs, every stream of this instance pauses.
- */
+/** Measures the callbacks of the event loop: while one runs, all streams of this instance are
+ * delayed. */
 
 #include <string.h>
 
 #include "gateway.h"
 
-/* Names in the metrics; more are counted together. */
+/* Callback names in the metric; further ones are counted together. */
 #define NAMES_MOST 128
 
 static const CmMetricDef turn_metric = {
@@ -19,7 +19,7 @@
   .last_exponent = 20,
 };
 
-/* Without the way from the build folder to the source. */
+/* Returns the name without the relative path from the build folder to the source. */
 static const char *
 short_name (const char *name)
 {
--- a/tests/faults/gateway_test.c
+++ b/tests/faults/gateway_test.c
@@ -1,4 +1,4 @@
-/** alderturn-gateway as a process, between a stand-in of the store and one of an endpoint. */
+/** alderturn-gateway as a process, with fakes of the store and of an endpoint. */
 
 #include <string.h>
 
@@ -44,9 +44,9 @@
   const char *ready;
   const char *directory;
   const char *link;
-  char *path; /* of the settings file */
+  char *path; /* path of the settings file */
   HnProcess *process;
-  guint status; /* of the last answer; 0: none, or it broke off */
+  guint status; /* of the last answer; 0: none, or it was incomplete */
   gboolean over;
 } Fixture;
 
@@ -173,9 +173,9 @@
 }
 
 /*
- * Symptom: processes end with signal 11 a second after their start, or route by freed names.
- * Sequence: the settings file is read again while the process runs.
- * Cause: names and addresses that other parts point to were freed with the old settings.
+ * Guards against crashes (signal 11 a second after the start) and routing by freed names after the
+ * settings file is reloaded: other modules point to names and addresses of the first settings,
+ * which must not be freed with them.
  */
 static void
 test_settings_are_read_again (void)
@@ -205,7 +205,8 @@
   fixture_close (&fixture);
 }
 
-/* Stopping: not ready and not named at once, but what callers still send is answered. */
+/* A stopping instance is at once not ready and absent from the directory, but still answers the
+ * requests that callers send. */
 static void
 test_stopping (void)
 {
@@ -223,7 +224,8 @@
   fixture_close (&fixture);
 }
 
-/* Instances look at the list of members, and miss their own row, less often than this. */
+/* Shorter than the interval at which instances read the list of members, and notice that their own
+ * row is missing. */
 #define BEFORE_LOOK (15 * KNL_SEC)
 
 static gboolean
@@ -232,7 +234,8 @@
   return row_store_has (((Fixture *)data)->store, "instances", "n1");
 }
 
-/* Guards against an instance that nobody finds any more, since the store has lost its row. */
+/* Guards against an instance that peers can't discover any more because the store has lost its row
+ * in a restoration. */
 static void
 test_a_lost_row_is_written_again (void)
 {
