--- a/http/client.c
+++ b/http/client.c
@@ -8,13 +8,14 @@
 
 #include "http/socket.h"
 
-/* Of the idle time that a peer allows, the part that is used: its clock started before ours. */
+/* The fraction of the idle time allowed by the peer that is used, since the peer's clock started
+ * earlier. */
 #define IDLE_PART 0.6
 
-/* Idle time where the peer states none. */
+/* Idle time where the peer advertises none. */
 #define IDLE_DEFAULT (1500 * KNL_MSEC)
 
-/* Answers to other requests that are passed over on one connection before it is given up. */
+/* Answers to other requests that are skipped on one connection before the exchange fails. */
 #define SKIP_LIMIT 2
 
 typedef struct Connection Connection;
@@ -36,13 +37,13 @@
   struct bufferevent *stream;
   HtReader *reader;
   HtExchange *exchange; /* NULL: idle */
-  KnlTimerId timer;     /* of connecting, or of idleness */
+  KnlTimerId timer;     /* connect timeout, or end of the idle time */
   KnlTime idle_since;
-  gsize queued; /* bytes of the request that the connection was opened for */
+  gsize queued; /* bytes of the first request, which the connection was opened for */
   gboolean connected;
-  gboolean spoilt;    /* never used again */
-  gboolean in_read;   /* callbacks of the exchange are running; it can't be freed under them */
-  gboolean cancelled; /* during them */
+  gboolean spoilt;    /* close the connection after this exchange */
+  gboolean in_read;   /* an exchange callback is running: don't free the connection */
+  gboolean cancelled; /* the exchange was cancelled by that callback */
 };
 
 struct HtClient
@@ -51,8 +52,8 @@
   struct event_base *base;
   HtLimits limits;
   KnlTime keep_idle;
-  GHashTable *connections; /* Connection, all */
-  GHashTable *idle;        /* address -> GPtrArray of Connection, the last used at the end */
+  GHashTable *connections; /* set of all Connection */
+  GHashTable *idle;        /* address -> GPtrArray of Connection, most recently used last */
   guint64 opened;
 };
 
@@ -92,7 +93,7 @@
   g_hash_table_remove (self->client->connections, self);
 }
 
-/* Ends the exchange with a failure; the connection goes with it. */
+/* Fails the exchange, if there is one, and closes the connection. */
 static void
 fail (Connection *self, HtFailure failure)
 {
@@ -108,10 +109,10 @@
 }
 
 /*
- * The bytes of a request leave as soon as the connection stands, and the word that
- * it stands comes later, when the event loop gets to it. A busy process may reach
- * the limit of connecting in between; taken for a connection that was never made,
- * the request would be refused as not run, or sent to another endpoint, and run.
+ * A request is sent as soon as the connection is established, but the event loop reports the
+ * connection in a later callback. In a busy process the connect timeout may expire in between. If
+ * that counted as a failure to connect, the request would be refused as not run, or sent to another
+ * endpoint, although this endpoint runs it.
  */
 static gboolean
 has_sent (const Connection *self)
@@ -187,7 +188,8 @@
   g_hash_table_remove (self->client->connections, self);
 }
 
-/* An answer to another request is over; the next message on the connection may be ours. */
+/* The answer to another request has ended; the next message on the connection may answer this one.
+ * Returns FALSE if the connection should be given up. */
 static gboolean
 skip_on (Connection *self)
 {
@@ -285,8 +287,8 @@
 }
 
 /*
- * Some answers have no length and end with their connection. One that is reset
- * on the way looks the same but for the error, so only an orderly end completes.
+ * An answer without a length ends when its connection closes. A connection that is reset within the
+ * answer differs from that by the error only, so just an orderly close completes the answer.
  */
 static void
 take_end (Connection *self, gboolean orderly)
--- a/http/reader.c
+++ b/http/reader.c
@@ -16,13 +16,13 @@
   gsize head_bytes;
   gsize body_bytes;
   gboolean no_body;
-  gsize line_bytes;     /* of the head's current line, without its end */
-  char last_byte;       /* of the head */
-  guint n_spaces;       /* in its first line */
+  gsize line_bytes;     /* in the current line of the head, without the line ending */
+  char last_byte;       /* most recent byte of the head */
+  guint n_spaces;       /* in the first line of the head */
   gboolean has_line;    /* the head's first line has ended */
   gboolean lines_done;  /* the empty line after the head has been seen */
-  gboolean has_value;   /* a value has begun: the next name is another field's */
-  gboolean until_close; /* the response has no length and ends with its connection */
+  gboolean has_value;   /* a value has begun: the next name starts another field */
+  gboolean until_close; /* the response has no length and ends when the connection closes */
   gboolean begun;
   gboolean head_done;
   gboolean complete;
@@ -81,13 +81,13 @@
   return self->head_bytes > self->limits.max_head_bytes ? refuse (self, HT_READ_HEAD_LARGE) : 0;
 }
 
-/* Between the method, the target and the version. */
+/* Number of spaces in the request line: between method, target and version. */
 #define FIRST_LINE_SPACES 2
 
 /*
- * A party that takes a bare line feed for the end of a line sees another head
- * than one that doesn't, and one that takes several spaces in the first line
- * another target; http_parser takes both.
+ * Request smuggling: a parser that accepts a bare line feed as the end of a line sees a different
+ * head than one that doesn't, and one that accepts several spaces in the request line sees a
+ * different target. http_parser accepts both.
  */
 static gboolean
 lines_are_clear (HtReader *self, const char *bytes, gsize length)
@@ -137,7 +137,7 @@
 {
   HtReader *self = parser->data;
 
-  if (self->head_done) /* trailers are not passed on */
+  if (self->head_done) /* trailers are dropped */
     return 0;
   if (take_field (self) != 0)
     return 1;
@@ -315,7 +315,7 @@
     }
   *taken = http_parser_execute (&self->parser, &callbacks, bytes, length);
   status = end_status (self, HTTP_PARSER_ERRNO (&self->parser) != HPE_OK);
-  /* Interim responses are no answer; the next message on the stream is. */
+  /* Interim (1xx) responses are dropped; the answer is the next message on the stream. */
   if (status == HT_READ_COMPLETE && self->responses && self->message->status < 200)
     {
       gsize more = 0;
--- a/http/server.c
+++ b/http/server.c
@@ -12,14 +12,16 @@
 #include "common/socket.h"
 #include "http/socket.h"
 
-/* How often connections are looked at for their time limits: a tenth of the shortest in use. */
+/* Interval between checks for connections past their timeouts: a tenth of the shortest timeout. */
 #define SWEEP_INTERVAL (250 * KNL_MSEC)
 
-/* Bytes of a next request that are read while one is answered; more stay with the network. */
+/* Bytes of the next request that are read ahead while one is answered; the rest stays in the
+ * socket's receive buffer. Also the unsent answer bytes above which the next request isn't
+ * processed. */
 #define READ_AHEAD_BYTES 65536
 
-/* An answer that closes its connection waits this long for the caller to take more of it, and then
- * to close its side. */
+/* How long a closing connection waits for the caller to receive more of the answer, and then to
+ * close its side. */
 #define CLOSE_LINGER (2 * KNL_SEC)
 
 #define CONTINUE_ANSWER "HTTP/1.1 100 Continue\r\n\r\n"
@@ -42,12 +44,12 @@
   struct bufferevent *stream;
   HtReader *reader;
   HtCall *call;       /* the request being answered */
-  KnlTime since;      /* the last answer's end, or the first byte of the request being read */
-  gboolean reading;   /* some of a request has been read */
-  gboolean closing;   /* only unsent answer bytes, or the caller's open side, keep it */
-  gboolean half_open; /* all is sent and our side is closed */
-  gboolean continued; /* the caller was told to send the body */
-  gsize unsent;       /* answer bytes at the last sweep */
+  KnlTime since;      /* end of the last answer, or first byte of the request being read */
+  gboolean reading;   /* part of a request has been received */
+  gboolean closing;   /* waits only until the answer is sent and the caller has closed its side */
+  gboolean half_open; /* everything is sent, and the sending side is shut down */
+  gboolean continued; /* the Expect field of this request has been handled */
+  gsize unsent;       /* unsent answer bytes at the last sweep */
 };
 
 struct HtServer
@@ -58,7 +60,7 @@
   HtServerLimits limits;
   const HtServerEvents *events;
   gpointer data;
-  GHashTable *connections; /* Connection */
+  GHashTable *connections; /* set of Connection */
   KnlTimerId sweep_timer;
   gboolean draining;
 };
@@ -97,9 +99,9 @@
 }
 
 /*
- * A connection that is closed while bytes of its caller are unread is reset, and
- * the reset takes an answer with it that the caller has not read yet. So only our
- * side is closed, and what still comes is dropped until the caller closes its own.
+ * Closing a socket with unread input resets the connection, and the reset discards answer bytes
+ * that the caller hasn't read yet. So only the sending side is shut down, and further input is
+ * dropped until the caller closes its side.
  */
 static void
 close_our_side (Connection *self)
@@ -191,7 +193,7 @@
   self->server->events->request (call, self->server->data);
 }
 
-/* A caller may wait for this before it sends a body. */
+/* Handles the Expect field: a caller may wait for 100 Continue before it sends the body. */
 static void
 answer_expectation (Connection *self)
 {
@@ -270,7 +272,7 @@
   if (self->closing && !self->half_open)
     close_our_side (self);
   else if (!self->closing)
-    read_on (self); /* a next request waits for the answer before it to be taken */
+    read_on (self); /* a next request may wait for the answer before it to be sent */
 }
 
 static void
--- a/http/socket.c
+++ b/http/socket.c
@@ -4,11 +4,13 @@
 #include <netinet/tcp.h>
 #include <sys/socket.h>
 
-/* Unacknowledged data ends the connection after this, in ms: over two lost packets in a row. */
+/* A connection fails when data stays unacknowledged for this many milliseconds; that tolerates two
+ * consecutive lost packets. */
 #define UNACKNOWLEDGED_MS 2000
 
-/* Connections without traffic are probed after this many seconds, each second, twice: one that went
- * silent, as a long wait for changes in the store may, shows within three seconds. */
+/* Connections without traffic are probed after KEEPALIVE_IDLE_S seconds, then twice at an interval
+ * of one second. A connection that has become silent, such as a long wait for changes in the
+ * store, is detected within three seconds. */
 #define KEEPALIVE_IDLE_S     1
 #define KEEPALIVE_INTERVAL_S 1
 #define KEEPALIVE_PROBES     2
@@ -30,7 +32,7 @@
     { IPPROTO_TCP, TCP_KEEPCNT, KEEPALIVE_PROBES },
   };
 
-  /* An option that the system lacks costs only the time it would have saved. */
+  /* Errors are ignored: without an option only the time that it saves is lost. */
   for (size_t i = 0; i < sizeof options / sizeof options[0]; i++)
     setsockopt (fd, options[i].level, options[i].name, &options[i].value, sizeof options[i].value);
 }
--- a/include/http/client.h
+++ b/include/http/client.h
@@ -1,10 +1,9 @@
 #pragma once
 
 /**
- * The client side of HTTP/1.1 on libevent's bufferevents: one request at a time
- * on a connection, with connections kept for the next request to the same
- * address. Every exchange ends by exactly one of done, failed or
- * ht_exchange_cancel(); no callback comes from inside ht_client_send().
+ * HTTP/1.1 client on libevent's bufferevents: one request at a time on a connection. Idle
+ * connections are kept for the next request to the same address. Every exchange ends by exactly one
+ * of done, failed or ht_exchange_cancel(); no callback is made from inside ht_client_send().
  */
 
 #include <event2/event.h>
@@ -18,15 +17,15 @@
 
 typedef enum
 {
-  HT_FAIL_CONNECT, /**< no connection: no byte of the request left */
+  HT_FAIL_CONNECT, /**< no connection was established; no byte of the request was sent */
   HT_FAIL_CLOSED,  /**< the connection ended before the answer was complete */
-  HT_FAIL_BAD,     /**< the bytes were no answer of the protocol */
-  HT_FAIL_LARGE,   /**< the answer was over the limits */
+  HT_FAIL_BAD,     /**< the bytes received weren't a valid HTTP answer */
+  HT_FAIL_LARGE,   /**< the answer exceeded the limits */
 } HtFailure;
 
 const char *ht_failure_name (HtFailure failure);
 
-/** What becomes of an answer's head. */
+/** What to do with an answer, decided from its head. */
 typedef enum
 {
   HT_HEAD_TAKE,
@@ -37,7 +36,7 @@
 typedef struct
 {
   HtHeadVerdict (*head) (HtExchange *exchange, HtMessage *answer, gpointer data);
-  /** Bytes of the body; NULL: they are collected in the message. */
+  /** Part of the body; NULL: the body is collected in the message. */
   void (*body) (HtExchange *exchange, const char *bytes, gsize length, gpointer data);
   /** The answer is complete; the exchange is freed afterwards. */
   void (*done) (HtExchange *exchange, HtMessage *answer, gpointer data);
@@ -50,18 +49,18 @@
   const char *head;    /**< start line and fields, without the empty line; copied */
   const char *body;    /**< copied */
   gsize body_length;
-  gboolean is_head;        /**< the answer has no body whatever it says */
-  KnlTime connect_timeout; /**< for a new connection */
-  KnlTime max_idle;        /**< a kept connection must have been used within this; 0: a new one */
+  gboolean is_head;        /**< HEAD request: no body, even with a Content-Length */
+  KnlTime connect_timeout; /**< for establishing a new connection */
+  KnlTime max_idle;        /**< reuse a connection only if used within this; 0: don't */
 } HtExchangeRequest;
 
-/** Connections idle for longer are closed, whatever the peer allows. */
+/** Connections idle for longer than `keep_idle` are closed, even if the peer allows more. */
 HtClient *ht_client_new (KnlKernel *kernel,
                          struct event_base *base,
                          const HtLimits *limits,
                          KnlTime keep_idle);
 
-/** Drops all exchanges without a callback. */
+/** Drops all exchanges without a callback; NULL is allowed. */
 void ht_client_free (HtClient *client);
 
 HtExchange *ht_client_send (HtClient *client,
@@ -69,14 +68,15 @@
                             const HtExchangeEvents *events,
                             gpointer data);
 
-/** Closes the connection at once; no callback follows. */
+/** Closes the connection, after the running callback if called from one. No further callback is
+ * made, and `exchange` is no longer valid. */
 void ht_exchange_cancel (HtExchange *exchange);
 
-/** Whether the request went out on a connection that was kept from an earlier one. */
+/** Whether the request was sent on a connection reused from an earlier one. */
 gboolean ht_exchange_is_reused (const HtExchange *exchange);
 
 /** Closes the idle connections to an address. */
 void ht_client_forget (HtClient *client, const char *address);
 
-/** Connections opened so far. */
+/** Number of connections opened so far. */
 guint64 ht_client_n_opened (const HtClient *client);
--- a/include/http/message.h
+++ b/include/http/message.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * One HTTP/1.1 message: the start line, header fields in their order, and the
- * body. Names are compared without regard to case; values are kept as they came.
+ * One HTTP/1.1 message: the start line, the header fields in their order, and the body. Field names
+ * are compared case-insensitively; values are kept as received.
  */
 
 #include <glib.h>
@@ -18,13 +18,13 @@
 typedef struct
 {
   char method[16]; /**< requests */
-  char *target;    /**< requests: path and query, as it came */
+  char *target;    /**< requests: path and query as received */
   guint status;    /**< responses */
   gboolean keep_alive;
-  gboolean takes_chunks; /**< requests: the caller's version knows chunked answers */
+  gboolean takes_chunks; /**< requests: the caller's HTTP version allows chunked answers */
   GString *text;         /**< all names and values, each ended by a NUL */
   GArray *fields;        /**< HtField */
-  GString *body;         /**< whole where the reader collects it, else empty */
+  GString *body;         /**< the complete body if the reader collects it, else empty */
 } HtMessage;
 
 HtMessage *ht_message_new (void);
@@ -32,24 +32,24 @@
 void ht_message_free (HtMessage *message);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HtMessage, ht_message_free)
 
-/** Adds a field; `value` is copied. */
+/** Adds a field; `name` and `value` are copied. */
 void ht_message_add (HtMessage *message, const char *name, const char *value);
 
 guint ht_message_n_fields (const HtMessage *message);
 const char *ht_message_field_name (const HtMessage *message, guint index);
 const char *ht_message_field_value (const HtMessage *message, guint index);
 
-/** The value of the first field of that name, or NULL. */
+/** The value of the first field with that name, or NULL; owned by the message. */
 const char *ht_message_get (const HtMessage *message, const char *name);
 
-/** How many fields have that name. */
+/** Number of fields with that name. */
 guint ht_message_count (const HtMessage *message, const char *name);
 
-/** Whether the field belongs to one connection only: by its name, or since Connection lists it. */
+/** Whether the field applies to one connection only, by its name or because Connection lists it. */
 gboolean ht_message_is_hop_by_hop (const HtMessage *message, guint index);
 
 /** The path of the target, without its query; free with g_free. */
 char *ht_message_path (const HtMessage *message);
 
-/** A parameter of the target's query, decoded, or NULL; free with g_free. */
+/** A parameter of the target's query, percent-decoded, or NULL; free with g_free. */
 char *ht_message_query (const HtMessage *message, const char *name);
--- a/include/http/reader.h
+++ b/include/http/reader.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * Reads HTTP/1.1 messages from a byte stream, one at a time, on libhttp-parser.
- * It enforces the limits and refuses what two parties might frame differently:
- * both Content-Length and Transfer-Encoding, repeated framing fields, field
- * names that are no tokens, control characters; in requests also lines that end
- * without a carriage return, and more spaces in the first line than two.
+ * Parses HTTP/1.1 messages from a byte stream, one at a time, with libhttp-parser. Enforces the
+ * limits, and refuses messages that two parsers might frame differently: both Content-Length and
+ * Transfer-Encoding, repeated framing fields, field names that aren't tokens, control characters;
+ * in requests also lines that end without a carriage return, and more than two spaces in the first
+ * line.
  */
 
 #include "http/message.h"
@@ -14,11 +14,11 @@
 
 typedef enum
 {
-  HT_READ_MORE,       /**< the message is not complete; all bytes were taken */
-  HT_READ_COMPLETE,   /**< the message is complete; bytes after it were not taken */
-  HT_READ_BAD,        /**< no message of the protocol */
-  HT_READ_HEAD_LARGE, /**< the head is over its limit */
-  HT_READ_BODY_LARGE, /**< the body is over its limit */
+  HT_READ_MORE,       /**< the message isn't complete; all bytes were consumed */
+  HT_READ_COMPLETE,   /**< the message is complete; bytes after it weren't consumed */
+  HT_READ_BAD,        /**< not a valid HTTP message */
+  HT_READ_HEAD_LARGE, /**< the head exceeds its limit */
+  HT_READ_BODY_LARGE, /**< the body exceeds its limit */
 } HtReadStatus;
 
 typedef struct
@@ -27,12 +27,12 @@
   gsize max_body_bytes;
 } HtLimits;
 
-/** What a reader hands on while it reads; `head` may be NULL. */
+/** Callbacks of a reader; `head` may be NULL. */
 typedef struct
 {
-  /** The head is complete. FALSE: the rest is not wanted, and the message is bad. */
+  /** The head is complete. Returning FALSE refuses the message: its status is HT_READ_BAD. */
   gboolean (*head) (HtMessage *message, gpointer data);
-  /** Bytes of the body; NULL: they are collected in the message. */
+  /** Part of the body; NULL: the body is collected in the message. */
   void (*body) (const char *bytes, gsize length, gpointer data);
 } HtReaderEvents;
 
@@ -44,19 +44,20 @@
 
 void ht_reader_set_limits (HtReader *reader, const HtLimits *limits);
 
-/** Starts on a message. `no_body`: the response to a HEAD request. */
+/** Starts a new message. `no_body`: it is the response to a HEAD request. */
 void ht_reader_begin (HtReader *reader, gboolean no_body);
 
-/** Reads `length` bytes; `*taken` says how many were used. */
+/** Parses up to `length` bytes; sets `taken` to the number consumed. */
 HtReadStatus ht_reader_feed (HtReader *reader, const char *bytes, gsize length, gsize *taken);
 
-/** The stream has ended: COMPLETE where that ends a response without a length, else BAD. */
+/** The stream has ended. Returns HT_READ_COMPLETE if that ends a response without a length, or if
+ * the message was complete already, else HT_READ_BAD. */
 HtReadStatus ht_reader_finish (HtReader *reader);
 
-/** Whether the response's end is the connection's end. */
+/** Whether the response ends when the connection closes. */
 gboolean ht_reader_ends_by_close (const HtReader *reader);
 
-/** Whether some byte of the message has been read. */
+/** Whether any byte of the message has been received. */
 gboolean ht_reader_has_begun (const HtReader *reader);
 
 /** Whether the head of the message is complete. */
@@ -65,5 +66,5 @@
 /** The message being read; owned by the reader until ht_reader_steal(). */
 HtMessage *ht_reader_message (HtReader *reader);
 
-/** The message, taken over by the caller. */
+/** Transfers the message to the caller; free with ht_message_free(). */
 HtMessage *ht_reader_steal (HtReader *reader);
--- a/include/http/server.h
+++ b/include/http/server.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * The server side of HTTP/1.1 on libevent's bufferevents: whole requests in,
- * answers out, one request at a time on a connection.
+ * HTTP/1.1 server on libevent's bufferevents. Requests are handled when they are complete, one at a
+ * time on a connection.
  *
- * The reader of a connection keeps reading while a request is answered, so that
- * a caller that leaves is noticed even when bytes of its next request wait.
+ * A connection is read while its request is being answered, so that a caller that disconnects is
+ * noticed even when bytes of its next request are pending.
  */
 
 #include <event2/event.h>
@@ -17,20 +17,21 @@
 typedef struct HtServer HtServer;
 typedef struct HtCall HtCall;
 
-/** What becomes of a server's requests. */
+/** Callbacks of a server. */
 typedef struct
 {
-  /** A whole request. The server owns `call` until it is answered or its caller has gone. */
+  /** A complete request. The server owns `call` until it is answered or its caller disconnects. */
   void (*request) (HtCall *call, gpointer data);
-  /** The caller left before its answer was complete; `call` is freed after this returns. A caller
-   * that closes only its sending side counts as one that has left. */
+  /** The caller disconnected before its answer was complete, or left too much of it unread; `call`
+   * is freed after this returns. A caller that closes only its sending side counts as
+   * disconnected. */
   void (*gone) (HtCall *call, gpointer data);
-  /** The body of an answer to bytes that are no request, or too much of one; `fields` takes its
-   * header lines. NULL: such answers have no body. */
+  /** Returns the body of an answer to an invalid, oversized or overdue request; the server frees
+   * it. Header lines for the answer are appended to `fields`. NULL: such answers have no body. */
   GString *(*refusal) (guint status, GString *fields, gpointer data);
 } HtServerEvents;
 
-/** Bound of HtServerLimits.max_unsent where answers are short. */
+/** Value for HtServerLimits.max_unsent where answers are short. */
 #define HT_UNSENT_BYTES ((gsize)4 << 20)
 
 typedef struct
@@ -38,12 +39,12 @@
   HtLimits message;
   KnlTime head_timeout;    /**< from the first byte of a request to the end of its head */
   KnlTime request_timeout; /**< from the first byte of a request to its last */
-  KnlTime idle_timeout;    /**< without a request */
+  KnlTime idle_timeout;    /**< of a connection without a request */
   guint max_connections;
-  gsize max_unsent; /**< answer bytes that a caller may leave unread before it is given up */
+  gsize max_unsent; /**< a connection with more unsent answer bytes is closed */
 } HtServerLimits;
 
-/** Listens on `address` ("IP:PORT"); NULL: it can't, with errno set. */
+/** Listens on `address` ("IP:PORT"). Returns NULL, with errno set, if that fails. */
 HtServer *ht_server_new (KnlKernel *kernel,
                          struct event_base *base,
                          const char *address,
@@ -51,61 +52,61 @@
                          const HtServerEvents *events,
                          gpointer data);
 
-/** Closes the listener and all connections without a word. */
+/** Closes the listener and all connections without a callback; NULL is allowed. */
 void ht_server_free (HtServer *server);
 
-/** For requests that come from now on. */
+/** Changes the limits, also for open connections. */
 void ht_server_set_limits (HtServer *server, const HtServerLimits *limits);
 
-/** From now on each answer closes its connection. Idle ones stay: closing them would cross
- * requests on their way. */
+/** From now on each answer closes its connection. Idle connections stay open: closing them could
+ * cross requests that are already in transit. */
 void ht_server_drain (HtServer *server);
 
-/** Takes no new connections any more. */
+/** Closes the listener: no new connections are accepted. */
 void ht_server_stop_listening (HtServer *server);
 
-/** The port that it listens at. */
+/** The port that the server listens on. */
 guint16 ht_server_port (const HtServer *server);
 
 guint ht_server_n_connections (const HtServer *server);
 
-/** Connections with a request that is not answered, or with answer bytes not yet sent. */
+/** Number of connections with an unanswered request, or with answer bytes not sent yet. */
 guint ht_server_n_busy (const HtServer *server);
 
-/** Bytes of answers that callers have not taken yet, all together. */
+/** Answer bytes not sent yet, over all connections. */
 gsize ht_server_unsent (const HtServer *server);
 
 HtMessage *ht_call_request (HtCall *call);
 void ht_call_set_data (HtCall *call, gpointer data);
 gpointer ht_call_data (HtCall *call);
 
-/** When the first byte of the request was read. */
+/** When the first byte of the request was received. */
 KnlTime ht_call_begun_at (const HtCall *call);
 
 /**
- * Sends a whole answer and ends the call. `fields` are complete header lines
- * ("Name: value\r\n"...), or NULL.
+ * Sends a complete answer and ends the call. `fields`: complete header lines ("Name:
+ * value\r\n"...), or NULL.
  */
 void
 ht_call_answer (HtCall *call, guint status, const char *fields, const char *body, gsize length);
 
-/** The same with a body that several calls share; it is not copied. */
+/** Like ht_call_answer(), with a body that several calls share; it isn't copied. */
 void ht_call_answer_bytes (HtCall *call, guint status, const char *fields, GBytes *body);
 
-/** Starts an answer whose length is not known; it goes out in chunks. */
+/** Starts an answer of unknown length; it is sent in chunks if the caller's HTTP version allows. */
 void ht_call_begin (HtCall *call, guint status, const char *fields);
 
-/** Sends a part of it. */
+/** Sends a part of a begun answer. */
 void ht_call_send (HtCall *call, const char *bytes, gsize length);
 
-/** Bytes of answers that the caller has not taken yet. */
+/** Answer bytes not sent to the caller yet. */
 gsize ht_call_unsent (const HtCall *call);
 
 /** Whether ht_call_begin() was called. */
 gboolean ht_call_has_begun (const HtCall *call);
 
-/** Ends a begun answer; the call is over. */
+/** Ends a begun answer and the call. */
 void ht_call_end (HtCall *call);
 
-/** Breaks the answer off so that it can't look complete: the connection is reset. */
+/** Aborts the answer so that it can't appear complete: the connection is reset. */
 void ht_call_abort (HtCall *call);
--- a/include/http/socket.h
+++ b/include/http/socket.h
@@ -1,16 +1,16 @@
 #pragma once
 
-/** Options that every TCP socket of the data path has. */
+/** Socket options for every TCP connection of the data path. */
 
 #include <event2/util.h>
 
-/** Connections that wait to be accepted; beyond it the kernel drops opening packets, which come
- * again after a second or more. */
+/** Length of the queue of connections waiting to be accepted. Beyond it the kernel drops SYN
+ * packets, which are sent again only after a second or more. */
 #define HT_BACKLOG 1024
 
 /**
- * Turns off Nagle's algorithm, and has a connection end whose peer says nothing:
- * after a partition or a loss of power no packet comes, and without this writes
- * would wait for many minutes.
+ * Disables Nagle's algorithm, and makes a connection fail if its peer stops responding: after a
+ * network partition or a power loss no packet arrives, and writes would otherwise wait for many
+ * minutes.
  */
 void ht_socket_tune (evutil_socket_t fd);
--- a/tests/unit/ht_reader_test.c
+++ b/tests/unit/ht_reader_test.c
@@ -1,4 +1,4 @@
-/** Framing of HTTP messages: what is read, what is refused, where one ends. */
+/** Framing of HTTP messages: which are accepted, which are refused, and where each one ends. */
 
 #include <string.h>
 
@@ -13,15 +13,15 @@
   const char *name;
   const char *bytes;
   HtReadStatus status;
-  const char *body; /* where it is complete */
+  const char *body; /* of a complete message */
   gsize left;       /* bytes after the message */
 } Row;
 
 /*
- * Symptom: an endpoint runs a request that no caller sent.
- * Sequence: a caller sends one message that two readers end at different places.
- * Cause: ambiguous framing is passed on: two lengths, a length beside chunks, or field names that
- * only one of the readers takes for a framing field.
+ * Guards against request smuggling: if a message with ambiguous framing is forwarded, two parsers
+ * end it at different places, and an endpoint runs a request that no caller sent. Framing is
+ * ambiguous with two lengths, with a length next to chunked encoding, or with field names that only
+ * one of the parsers accepts as a framing field.
  */
 static const Row requests[] = {
   { "plain", "GET /a HTTP/1.1\r\nHost: h\r\n\r\n", HT_READ_COMPLETE, "", 0 },
@@ -63,7 +63,7 @@
   { "no answer", "\x01\x02garbage\r\n\r\n", HT_READ_BAD, NULL, 0 },
 };
 
-/* Feeds in pieces of `step` bytes; what it returns must not depend on the pieces. */
+/* Feeds pieces of `step` bytes; the result must not depend on the size of the pieces. */
 static void
 check_row (const Row *row, gboolean is_response, gsize step)
 {
@@ -124,7 +124,7 @@
   ht_reader_free (reader);
 }
 
-/* An answer without a length is complete when its connection ends, one with a length is not. */
+/* A response without a length is complete when its connection ends; one with a length isn't. */
 static void
 test_end_of_stream (void)
 {
