--- a/tests/unit/pol_test.c
+++ b/tests/unit/pol_test.c
@@ -1,5 +1,5 @@
-/** The decisions that all interfaces share: retries, their budget, suspects, health, plain choice.
- */
+/** Policies that all interfaces share: retries and their budget, suspects, health, endpoints'
+ * limits and the cost of endpoints of plain services. */
 
 #include "kernel/paused.h"
 #include "policy/budget.h"
@@ -11,9 +11,9 @@
 #include "suite.h"
 
 /*
- * Symptom: a service gets more second sends in ten seconds than its budget.
- * Sequence: several instances each use the whole budget, or one uses it at both ends of a window.
- * Cause: the budget is one for all instances, and any span of its length counts.
+ * Guards against more retries in ten seconds than the budget allows. The budget applies to all
+ * instances together and to any span of its length: it is exceeded when each instance uses all of
+ * it, or when one uses it at both ends of a window.
  */
 static void
 test_budget_is_shared (void)
@@ -34,19 +34,17 @@
         }
       CU_ASSERT (in_window * instances <= 0.2 * 800 * instances + 100);
       CU_ASSERT (in_window >= 0.1 * 800);
-      /* The same span again begins before the first one has left the window. */
+      /* The first span has not left the window yet. */
       CU_ASSERT_FALSE (pol_budget_spend (&budget, &rule, instances, 9 * KNL_SEC));
       CU_ASSERT_TRUE (pol_budget_spend (&budget, &rule, 1, 25 * KNL_SEC));
     }
 }
 
 /*
- * Symptom: a service gets 681 and 748 sends beyond the first ones in ten seconds, where 640 are
- * allowed.
- * Sequence: 91 instances have used their parts of the budget; 89 are killed at once, start again,
- * and find endpoints that are full of what they had sent before.
- * Cause: counts begin at zero with the process, and the slack was divided by the few instances that
- * were known by then.
+ * Guards against a budget that is spent twice by a restart: a service got 681 and 748 retries in
+ * ten seconds where 640 were allowed. 91 instances had used their shares; 89 of them were killed at
+ * once, restarted, and found endpoints full of the requests sent before. Counts began at zero with
+ * the new process, and the slack was divided by the few instances that were known by then.
  */
 static void
 test_budget_is_not_spent_twice_by_a_restart (void)
@@ -82,9 +80,8 @@
 }
 
 /*
- * Symptom: during a fault the endpoints get several times the calls that callers made.
- * Sequence: every request fails, each is tried again up to its limit of attempts.
- * Cause: nothing bounds retries over all requests together.
+ * Guards against retries that multiply the load during a fault: every request fails and is retried
+ * up to its limit of attempts, unless retries are bounded over all requests together.
  */
 static void
 test_retries_stay_a_part_of_the_load (void)
@@ -130,10 +127,10 @@
 }
 
 /*
- * Symptom: a request that was innocent beside a crash is refused for an hour, or one that all
- * instances know to crash engines runs again here.
- * Sequence: it is noted here once, runs alone and ends well; or others tell their total.
- * Cause: own counts and totals of all instances were kept apart.
+ * Guards against a request that was in flight at a crash without causing it and is refused for an
+ * hour, and against one that runs here although all instances know that it crashes engines. The
+ * first is counted here once, then runs alone and succeeds; for the second, peers report their
+ * total. Both came about because own counts and totals were kept separately.
  */
 static void
 test_suspects_by_own_counts_and_totals (void)
@@ -160,10 +157,9 @@
 }
 
 /*
- * Symptom: a request that must run once runs twice, or endpoints get more sends than the bound
- * because those that ran nothing are not counted.
- * Sequence: an attempt is lost after it may have run; or endpoints turn a request away in a row.
- * Cause: one interface's rule forgot what the other's had.
+ * Guards against a request that must run once and runs twice after an attempt that may have run,
+ * and against more attempts than the bound when endpoints reject a request one after the other and
+ * attempts that didn't run aren't counted. The rules of the interfaces differed in this.
  */
 static void
 test_retries_by_rule (void)
@@ -203,9 +199,9 @@
 }
 
 /*
- * Symptom: requests go on being lost at an endpoint that is down, or one that is back gets none.
- * Sequence: losses in a row, then an answer; or several answers that report failures.
- * Cause: it rested for one length only, or its rest outlived its first answer.
+ * Guards against requests that are lost again and again at an endpoint that is down, because its
+ * backoff doesn't grow, and against a recovered endpoint that gets no requests, because its backoff
+ * doesn't end with its first answer. Covers consecutive losses and consecutive failed answers.
  */
 static void
 test_rests_grow_and_end (void)
@@ -253,7 +249,8 @@
     CU_ASSERT (pol_plain_cost (&rows[i].better) < pol_plain_cost (&rows[i].worse));
 }
 
-/* Guards against a limit that counts wrongly after a pause, a debt, or a change. */
+/* Guards against a wrong allowance after an idle time, after too many requests, or after a change
+ * of the limit. */
 static void
 test_limits (void)
 {
@@ -261,9 +258,9 @@
   {
     double rate;
     PolLimitShare share;
-    KnlTime idle; /* since it was named */
-    guint sent;   /* at once, then */
-    KnlTime wait; /* for the next one after them */
+    KnlTime idle; /* time since the limit was advertised, in ms */
+    guint sent;   /* requests sent then, all at once */
+    KnlTime wait; /* until the next request, in ms */
   } rows[] = {
     { 2, { 1, 0 }, 0, 0, 500 },
     { 2, { 1, 0 }, 500, 0, 0 },
@@ -306,7 +303,7 @@
     double rate;
     KnlTime named_at;
     gboolean changes;
-    double known; /* then */
+    double known; /* rate afterwards */
   } rows[] = {
     { 2, 10, TRUE, 2 },
     { 2, 11, FALSE, 2 },
--- a/tests/unit/sv_memory_test.c
+++ b/tests/unit/sv_memory_test.c
@@ -1,4 +1,4 @@
-/** Memory that is set aside at engines for a prompt that one of them keeps waiting. */
+/** Memory reserved at engines for a prompt that one of them doesn't begin. */
 
 #include <string.h>
 
@@ -8,8 +8,8 @@
 #define TAKEN "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"free\":10}"
 
 #define IDLE_BOUND (9 * KNL_SEC)
-/* Of the three, the one that runs the prompt and the one that sets memory aside for it: decided by
- * the hashes of their ids. The third is kept for short prompts. */
+/* Of the three endpoints, the one that runs the prompt and the one that reserves memory for it, as
+ * the hashes of their ids decide. The third is kept for short prompts. */
 #define RUNNER 1
 #define HOLDER 2
 
@@ -29,10 +29,9 @@
 }
 
 /*
- * Symptom: memory of an engine stays set aside for 10 s and no request uses it.
- * Sequence: a prompt needs memory of two engines. One sets it aside; the other, which is to run it,
- * is full and keeps it waiting without a word.
- * Cause: the lease was renewed for as long as the caller waited.
+ * Guards against memory of an engine that stays reserved for 10 s without use. A prompt needs
+ * memory of two engines: one reserves it; the other, which is to run the prompt, is full and
+ * doesn't answer. The lease was renewed for as long as the caller waited.
  */
 static void
 test_memory_is_not_held_for_a_prompt_that_waits (void)
@@ -62,7 +61,8 @@
   sv_fixture_close (&fixture);
 }
 
-/* Guards against a prompt for an endpoint that asks for rest while memory is set aside for it. */
+/* Guards against sending a prompt to an endpoint that asks for no requests (Retry-After) while
+ * memory is being reserved for the prompt. */
 static void
 test_an_endpoint_that_rests_meanwhile_gets_nothing (void)
 {
@@ -89,7 +89,7 @@
   while (!has_order (&fixture, HOLDER, "release"))
     event_base_loop (fixture.base, EVLOOP_ONCE);
   CU_ASSERT_EQUAL (scripted_endpoint_n_requests (fixture.endpoints[RUNNER]), 0);
-  /* Until the caller has its answer, and all that was set aside is given back. */
+  /* Until the caller has its answer and all reserved memory is released. */
   for (KnlTime passed = 0; passed < 2 * IDLE_BOUND; passed += STEP)
     {
       knl_paused_clock_advance (fixture.clock, STEP);
--- a/tests/unit/sv_move_test.c
+++ b/tests/unit/sv_move_test.c
@@ -1,4 +1,4 @@
-/** Streams that leave an engine at which a long prompt is to be read. */
+/** Migration of streams from an engine that is about to prefill a long prompt. */
 
 #include <string.h>
 
@@ -20,7 +20,7 @@
   .usual_answer = 1000,
 };
 
-/* Two events, and the stream goes on. */
+/* Sends two events and leaves the stream open. */
 static const ScriptedAnswer begun[] = { { "HTTP/1.1 200 OK\r\n" SIGNED
                                           "Transfer-Encoding: chunked\r\n\r\n"
                                           "1e\r\nid: 1\ndata: a\n\nid: 2\ndata: b\n\n\r\n",
@@ -29,24 +29,22 @@
 typedef struct
 {
   const char *name;
-  KnlTime part;        /* of the prompt that is to be read */
-  gboolean elsewhere;  /* at another engine */
-  gboolean until_told; /* it is read in parts by several */
+  KnlTime part;        /* prefill time of the long prompt's part */
+  gboolean elsewhere;  /* at another engine than the stream */
+  gboolean until_told; /* the prompt is split over several engines */
   guint n_endpoints;
   gboolean no_retries;
   gboolean moves;
 } Row;
 
 /*
- * Symptom: short streams pause for a second beside long prompts, while other
- * engines have room.
- * Sequence: a stream has begun; another instance has a long prompt read at its
- * engine.
- * Cause: the stream stayed where each pass takes as long as the part.
+ * Guards against gaps of a second in short streams while other engines are free.
+ * A stream has begun; another instance places the prefill of a long prompt at its
+ * engine, where each pass then takes as long as the part. The stream must migrate.
  */
 static const Row rows[] = {
   { "a long part", 900 * KNL_MSEC, FALSE, TRUE, 2, FALSE, TRUE },
-  { "a part that it bears", 100 * KNL_MSEC, FALSE, TRUE, 2, FALSE, FALSE },
+  { "a part shorter than its gap objective", 100 * KNL_MSEC, FALSE, TRUE, 2, FALSE, FALSE },
   { "a long part elsewhere", 900 * KNL_MSEC, TRUE, TRUE, 2, FALSE, FALSE },
   { "a short prompt", 900 * KNL_MSEC, FALSE, FALSE, 2, FALSE, FALSE },
   { "nowhere to go", 900 * KNL_MSEC, FALSE, TRUE, 1, FALSE, FALSE },
@@ -75,7 +73,7 @@
   return NULL;
 }
 
-/* The endpoint that the caller's stream comes from. */
+/* Index of the endpoint that sends the caller's stream. */
 static guint
 runner_of (const SvFixture *fixture)
 {
@@ -124,7 +122,7 @@
   if (row->moves)
     CU_ASSERT_STRING_EQUAL (
         scripted_endpoint_field (fixture.endpoints[1 - runner], "last-event-id"), "2");
-  /* One answer, each event once. */
+  /* The caller gets one answer, with each event once. */
   CU_ASSERT_EQUAL (count_of (fixture.got, "HTTP/1.1 200"), 1);
   CU_ASSERT_EQUAL (count_of (fixture.got, "id: 1\n"), 1);
   CU_ASSERT_EQUAL (count_of (fixture.got, "id: 2\n"), 1);
--- a/tests/unit/sv_parts_test.c
+++ b/tests/unit/sv_parts_test.c
@@ -1,4 +1,4 @@
-/** The core's small parts: configuration, events, fleet. */
+/** Small parts of the core: configuration, events, fleet. */
 
 #include <string.h>
 
@@ -82,9 +82,9 @@
 }
 
 /*
- * Symptom: a resumed stream lacks an event or has one twice.
- * Sequence: an endpoint stops in the middle of an event; another goes on after the last id.
- * Cause: bytes of an incomplete event were passed on, or its id was taken for passed on.
+ * Guards against a resumed stream that lacks an event or has one twice. An endpoint stops in the
+ * middle of an event, and another one resumes after the last id; bytes of the incomplete event must
+ * not have been passed on, and its id must not count as passed on.
  */
 static void
 test_events_in_any_pieces (void)
@@ -126,9 +126,9 @@
 }
 
 /*
- * Symptom: all requests are refused for two seconds after the store was down.
- * Sequence: the entries of live endpoints lapse meanwhile; the first list after it is empty.
- * Cause: an endpoint whose entry is gone was dropped at once.
+ * Guards against refusing all requests for two seconds after the store was down. The entries of
+ * live endpoints expire meanwhile, so that the first list afterwards is empty; endpoints whose
+ * entry was removed must not be dropped at once.
  */
 static void
 test_lapsed_entries_are_a_last_resort (void)
@@ -183,9 +183,9 @@
 }
 
 /*
- * Symptom: instances that can't hear each other fill one endpoint beyond its places.
- * Sequence: each counts only its own requests there.
- * Cause: the endpoint's own report of its load was not used, or used long after it was made.
+ * Guards against instances without contact to each other that overfill one endpoint, because each
+ * counts only its own requests there. The load that the endpoint itself reports must be used, but
+ * only for a short time.
  */
 static void
 test_unseen_calls_count_for_a_moment (void)
--- a/tests/unit/sv_reservation_test.c
+++ b/tests/unit/sv_reservation_test.c
@@ -1,4 +1,4 @@
-/** Memory set aside at several endpoints whose answers are refusals, get lost, or come late. */
+/** Memory reserved at several endpoints whose answers are refusals, get lost, or arrive late. */
 
 #include <string.h>
 
@@ -108,7 +108,8 @@
   return sv_reservation_new (&parts, "r1", self->endpoints, tokens, 2, on_verdict, self);
 }
 
-/* Runs until the engine has had that many orders; time passes only where `step` says so. */
+/* Runs until the engine has received `n_orders` orders. The clock advances by `step` in each
+ * iteration. */
 static void
 run_until (Fixture *self, guint engine, guint n_orders, KnlTime step)
 {
@@ -136,9 +137,9 @@
 }
 
 /*
- * Symptom: an engine refuses prompts while little runs there.
- * Sequence: a prompt needs memory of two engines; one gives it, the other refuses.
- * Cause: what the first one had set aside was kept although the prompt can't run.
+ * Guards against an engine that refuses prompts while little runs there. A prompt needs memory of
+ * two engines; one reserves it, the other refuses. The memory at the first must be released, since
+ * the prompt can't run.
  */
 static void
 test_refused_part_gives_all_back (void)
@@ -163,15 +164,13 @@
 }
 
 /*
- * Symptom: a prompt that needs memory of several engines waits until its caller leaves, and memory
- * of an engine stays taken after it was given up.
- * Sequence: an order gets no answer; its renewal goes out before its limit, and sets the limit
- * anew, again and again.
+ * Guards against two faults. A prompt that needs memory of several engines waits until its caller
+ * disconnects, and the memory stays reserved: an order gets no answer, and renewals sent before its
+ * time-out restart the time-out each time.
  *
- * Symptom: memory of an engine stays taken after its prompt has ended.
- * Sequence: the order that set it aside is carried out seconds later, after the prompt was given up
- * and the memory given back.
- * Cause: nobody gives back what was set aside after that; only a lease that ends by itself does.
+ * Memory of an engine stays reserved after its prompt has ended: the order is carried out seconds
+ * later, after the prompt was given up and its memory released. No release follows, so only the
+ * expiry of the lease frees it.
  */
 static void
 test_order_without_answer_is_a_short_lease (void)
@@ -190,7 +189,7 @@
   CU_ASSERT_PTR_NOT_NULL_FATAL (hold);
   CU_ASSERT (g_ascii_strtoll (hold + strlen ("\"holdMs\":"), NULL, 10) * KNL_MSEC < FREE_WITHIN);
   run_until (&fixture, 0, 1, 0);
-  /* No answer within the limit of an order: given up, and given back at both. */
+  /* No answer within the time-out of an order: the reservation fails and is released at both. */
   while (fixture.n_verdicts == 0)
     {
       knl_paused_clock_advance (fixture.clock, 50 * KNL_MSEC);
@@ -202,7 +201,7 @@
     event_base_loop (fixture.base, EVLOOP_ONCE);
   run_until (&fixture, 1, 2, 50 * KNL_MSEC);
   CU_ASSERT_TRUE (last_order_is (&fixture, 1, "release"));
-  /* Giving back has no answer either and is repeated, but not beyond the lease. */
+  /* The release has no answer either and is repeated, but not beyond the lease. */
   run_until (&fixture, 1, 3, 50 * KNL_MSEC);
   knl_paused_clock_advance (fixture.clock, 2 * HOLD);
   event_base_loop (fixture.base, EVLOOP_NONBLOCK);
@@ -215,9 +214,8 @@
 }
 
 /*
- * Symptom: a prompt is cut off in the middle of its answer.
- * Sequence: it runs for longer than the lease of its memory.
- * Cause: the lease was not renewed, or renewals stopped with one lost order.
+ * Guards against a prompt that is cut off in the middle of its answer, because it runs for longer
+ * than the lease of its memory and the lease isn't renewed, or renewals stop after one lost order.
  */
 static void
 test_held_memory_is_renewed (void)
@@ -248,10 +246,9 @@
 }
 
 /*
- * Symptom: an engine that has just started refuses prompts although nothing runs there.
- * Sequence: it held memory for a prompt when it crashed, and starts again under its id; the lease
- * is renewed there.
- * Cause: renewing a reservation that isn't there sets memory aside anew, for a prompt that is lost.
+ * Guards against an engine that has just started and refuses prompts although nothing runs there.
+ * It held memory for a prompt when it crashed, and restarted under the same id. Renewing the
+ * reservation, which is unknown to the new process, would reserve memory for a lost prompt.
  */
 static void
 test_lease_is_not_renewed_at_another_start (void)
@@ -270,7 +267,7 @@
   sv_fleet_update (fixture.fleet, &again);
   run_until (&fixture, 1, 3, HOLD / 4);
   CU_ASSERT_EQUAL (scripted_endpoint_n_requests (fixture.engines[0]), 1);
-  /* Giving back what isn't there does no harm, and an order of before may be carried out late. */
+  /* Releasing an unknown reservation is harmless, and an earlier order may still be carried out. */
   sv_reservation_release (reservation);
   run_until (&fixture, 0, 2, 0);
   CU_ASSERT_TRUE (last_order_is (&fixture, 0, "release"));
@@ -279,7 +276,7 @@
   fixture_close (&fixture);
 }
 
-/* Guards against a limit that an engine names in answers to orders alone. */
+/* Guards against ignoring a limit that an engine advertises only in answers to orders. */
 static void
 test_limits_in_answers_to_orders (void)
 {
@@ -299,7 +296,7 @@
   run_until (&fixture, 0, 2, 0);
   run_until (&fixture, 1, 2, 0);
   knl_paused_clock_advance (fixture.clock, 2 * HOLD);
-  /* An answer without a signature does not end it. */
+  /* An unsigned answer without a limit doesn't end it. */
   CU_ASSERT_EQUAL (fixture.endpoints[0]->limit.rate, 1.5);
   fixture_close (&fixture);
 }
--- a/tests/unit/sv_router_test.c
+++ b/tests/unit/sv_router_test.c
@@ -1,4 +1,4 @@
-/** Where prompts are placed: short streams together, long prompts in parts beside them. */
+/** Placement of prompts: short streams are packed, long prompts are split over other endpoints. */
 
 #include "kernel/paused.h"
 #include "serve/engine_model.h"
@@ -119,7 +119,7 @@
   sv_fleet_add_read (self->fleet, &read, keys, n);
 }
 
-/* Starts it: its load and its reading count from now on. */
+/* Starts the request: its load and its prefill count from now on. */
 static void
 start (Fixture *self, const SvPlacement *placement)
 {
@@ -141,9 +141,9 @@
 }
 
 /*
- * Symptom: short streams pause for as long as a long prompt is read.
- * Sequence: short streams are spread over all engines; a long prompt is read beside some of them.
- * Cause: an engine's pass brings all its streams their next event, and reading lengthens the pass.
+ * Guards against short streams that stall for as long as a long prompt is prefilled, because they
+ * are spread over all engines. A pass of an engine produces the next event of all its streams, and
+ * prefill lengthens the pass.
  */
 static void
 test_short_streams_leave_engines_free (void)
@@ -181,20 +181,18 @@
   CU_ASSERT_EQUAL (placement.first->own.writers[SV_PAUSE_TIGHT], 0);
   for (guint i = 0; i < placement.n_helpers; i++)
     CU_ASSERT_EQUAL (placement.helpers[i]->own.writers[SV_PAUSE_TIGHT], 0);
-  /* The parts together are the whole. */
+  /* The parts add up to the full prompt. */
   CU_ASSERT_DOUBLE_EQUAL ((double)placement.part / KNL_MSEC * (placement.n_helpers + 1),
                           sv_model_read_ms (&spec, 150000), 1);
   fixture_close (&fixture);
 }
 
 /*
- * Symptom: short streams pause beside long prompts on a fleet of small engines,
- * while others run nothing.
- * Sequence: engines have 12 places; nine short streams are put on each; a long
- * prompt comes.
- * Cause: the engines that are kept for short streams were counted with more
- * streams on each than are put there, so that the last of them was taken for one
- * that runs long prompts.
+ * Guards against stalled short streams on a fleet of small engines while other
+ * engines are idle. Engines have 12 slots, nine short streams are packed onto
+ * each, and a long prompt arrives. The number of packed engines was computed with
+ * more streams per engine than are packed, so that the last of them got the role
+ * of running long prompts.
  */
 static void
 test_engines_with_few_places (void)
@@ -223,9 +221,8 @@
 }
 
 /*
- * Symptom: after a prompt was turned away, others wait for seconds though engines are idle.
- * Sequence: its reading was entered for the engines, and stays there.
- * Cause: a rejected prompt is not read; what was entered must be taken out.
+ * Guards against prompts that wait for seconds while engines are idle, because the prefill of a
+ * rejected prompt stays in the engines' backlog. It must be removed.
  */
 static void
 test_rejected_reading_is_taken_out (void)
@@ -246,12 +243,11 @@
 }
 
 /*
- * Symptom: prompts wait seven seconds for their first event at engines that look idle, while
- * prompts that came later have theirs at once.
- * Sequence: prompts are placed one after the other, each when the reading before it should be over;
- * the engines, which write streams too, are slower than that and take the newest part first.
- * Cause: reading was taken to go at full speed and to be over by the clock alone; what engines
- * still had to do was forgotten, and more was placed on top.
+ * Guards against prompts that wait seven seconds for their first event at engines that look idle,
+ * while later prompts get theirs at once. Each prompt is placed when the prefill before it should
+ * be complete; the engines also decode streams, are slower, and process the newest part first.
+ * Prefill was assumed to run at full speed and dropped after its time alone, so that more was
+ * placed on top of the unfinished backlog.
  */
 static void
 test_reading_counts_until_it_is_over (void)
@@ -265,7 +261,7 @@
   sv_reads_add (&reads, &first, 1000);
   sv_reads_add (&reads, &second, 1100);
   CU_ASSERT_EQUAL (sv_reads_left (&reads, 1100), 400);
-  /* The newer one goes first: when it is over, all of the older one's rest is left. */
+  /* The newer one goes first: when it ends, the older one still needs all of its remaining time. */
   sv_reads_end (&reads, 2, 1250);
   CU_ASSERT_EQUAL (sv_reads_left (&reads, 1250), 200);
   sv_reads_add (&reads, &untold, 1250);
@@ -281,11 +277,9 @@
 }
 
 /*
- * Symptom: short prompts have their first event late though other packed endpoints are free, and
- * the streams beside them pause.
- * Sequence: several come within a pass; each finds the same endpoint just free of the one before.
- * Cause: reading was taken to be over as soon as its own time had passed, but it ends with the
- * pass.
+ * Guards against late first events of short prompts, and stalled streams next to them, while other
+ * packed endpoints are free. Several prompts arrive within a pass, and for each the same endpoint
+ * looks free again: prefill was counted for its own time only, but it ends with the pass.
  */
 static void
 test_short_prompt_is_read_with_its_pass (void)
@@ -304,11 +298,10 @@
 }
 
 /*
- * Symptom: a long prompt is read by one endpoint for more than a second, and all short streams
- * there pause that long.
- * Sequence: streams are left on every endpoint, as at the end of a peak; a long prompt comes.
- * Cause: how much longer streams take was counted at the endpoints that help and not at the one
- * that runs the prompt, so that one part looked cheaper than many.
+ * Guards against a long prompt that one endpoint prefills for more than a second, stalling all
+ * short streams there. Streams remain on every endpoint, as at the end of a load peak. The delay of
+ * streams was counted at the helpers but not at the endpoint that runs the prompt, so that one part
+ * looked cheaper than many.
  */
 static void
 test_long_prompt_is_not_read_whole_beside_streams (void)
@@ -326,7 +319,7 @@
   fixture_close (&fixture);
 }
 
-/* A prompt that is read beside streams takes the engine their passes too. */
+/* A prefill next to streams also takes the time of their passes. */
 static void
 test_reading_beside_streams_takes_longer (void)
 {
@@ -344,10 +337,9 @@
 }
 
 /*
- * Symptom: processes end with signal 6, some seconds after an endpoint has gone.
- * Sequence: a prompt is read in parts; one of the endpoints that read them leaves the list for
- * good; the prompt is given up, and its reading is taken out. Cause: a placement kept only its
- * first endpoint.
+ * Guards against a crash (signal 6) some seconds after an endpoint was removed. A prompt is split;
+ * one of its helpers is removed from the list; the prompt is given up and its prefill entries are
+ * removed. The placement held a reference to its first endpoint only.
  */
 static void
 test_endpoints_outlive_the_fleet (void)
@@ -424,10 +416,10 @@
 }
 
 /*
- * Symptom: long prompts are rejected several times within 100 ms, on a day without faults.
- * Sequence: an engine helps with as many prompts as it has slots; a further one names it as helper.
- * Cause: the parts that an engine was to read were not counted, and the one named rested from all
- * requests as if it were lost.
+ * Guards against long prompts that are rejected several times within 100 ms without any fault. An
+ * engine helps with as many prompts as it has slots, and a further prompt chooses it as helper: the
+ * parts placed at an engine weren't counted, and the refusing helper got a backoff for all requests
+ * as after a loss.
  */
 static void
 test_busy_helpers_are_left_out (void)
@@ -453,7 +445,7 @@
   CU_ASSERT_FALSE (sv_endpoint_can_help (busy, now));
   sv_endpoint_note_no_help (named, now);
   CU_ASSERT_FALSE (sv_endpoint_can_help (named, now));
-  /* It is as good as before for requests of its own. */
+  /* It can still run requests of its own. */
   CU_ASSERT_TRUE (sv_endpoint_usable (named, now));
   placement = place_long (&fixture, 200000);
   for (guint i = 0; i < placement.n_helpers; i++)
