--- a/policy/plain.c
+++ b/policy/plain.c
@@ -1,7 +1,7 @@
 #include "policy/plain.h"
 
-/* Another availability zone costs a few ms, less than one queued request at six slots. An endpoint
- * whose recent answers (about a dozen) all failed is as bad as two full queues. */
+/* Another availability zone costs a few ms, less than one queued request at six slots. A failure
+ * rate of 1, as an average over about the last dozen answers, costs as much as two full queues. */
 #define FAR_COST          0.15
 #define FAILURE_RATE_COST 2.0
 
--- a/serve/place_long.c
+++ b/serve/place_long.c
@@ -33,8 +33,8 @@
 /* A first event begins to count as late at this fraction of its objective, and fully at 1. */
 #define LATE_FROM 0.5
 
-/* Cost of waiting as long as the objective, in late streams. Decides between widths that make
- * nothing late. */
+/* Cost of waiting as long as the objective, in late streams. Also decides between widths that are
+ * otherwise equal. */
 #define WAIT_COST 10.0
 
 static int
