--- a/policy/suspects.c
+++ b/policy/suspects.c
@@ -6,7 +6,7 @@
 typedef struct
 {
   guint64 fingerprint;
-  guint noted; /* crashes counted by this instance, on top of the total known at that time */
+  guint noted; /* crashes counted by this instance, added to the total known then */
   guint total; /* crashes counted by all instances together, as last reported */
   gboolean is_refused;
   KnlTime expires;
