--- a/serve/core.c
+++ b/serve/core.c
@@ -3,16 +3,16 @@
 
 /* Fraction of this instance's share of a service's retry budget that it spends; see
  * PolBudgetRule. */
-#define RETRIES_USED 0.75
+#define RETRIES_USED_FRACTION 0.75
 
 /* A harmless request can lose its endpoint twice by coincidence. */
-static const PolSuspectRule suspect_rule = { .refuse_at = 3, .life = 60 * KNL_SEC };
+static const PolSuspectRule suspect_rule = { .refuse_at = 3, .ttl = 60 * KNL_SEC };
 
 void
 sv_core_set_bounds (SvCore *self, const SvBounds *bounds)
 {
   self->bounds = *bounds;
-  self->bounds.retries.used_part = RETRIES_USED;
+  self->bounds.retries.used_fraction = RETRIES_USED_FRACTION;
   self->bounds.retries.slack_after = bounds->retries.window;
 }
 
@@ -29,13 +29,13 @@
   self->budgets = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   self->suspects = pol_suspects_new (parts->kernel, &suspect_rule);
   self->meters = sv_meters_new (parts->metrics);
-  sv_fleet_on_read (parts->fleet, sv_core_note_read, self);
+  sv_fleet_on_prefill (parts->fleet, sv_core_note_prefill, self);
   return self;
 }
 
 /* Calls `end` on each request; `end` must remove it from the table. */
 static void
-end_each (SvCore *self, void (*end) (SvRequest *request))
+end_requests (SvCore *self, void (*end) (SvRequest *request))
 {
   GHashTableIter iter;
   gpointer request;
@@ -54,8 +54,8 @@
 {
   if (self == NULL)
     return;
-  sv_fleet_on_read (self->parts.fleet, NULL, NULL);
-  end_each (self, sv_request_gone);
+  sv_fleet_on_prefill (self->parts.fleet, NULL, NULL);
+  end_requests (self, sv_request_note_disconnect);
   sv_meters_free (self->meters);
   pol_suspects_free (self->suspects);
   g_hash_table_unref (self->budgets);
@@ -83,9 +83,9 @@
 }
 
 void
-sv_core_confirm (SvCore *self, KnlTime asked_at)
+sv_core_confirm (SvCore *self, KnlTime requested_at)
 {
-  self->confirmed_at = MAX (self->confirmed_at, asked_at);
+  self->confirmed_at = MAX (self->confirmed_at, requested_at);
 }
 
 KnlTime
@@ -95,18 +95,18 @@
 }
 
 static void
-prepare (SvRequest *self)
+init_request (SvRequest *self)
 {
   self->excluded = g_ptr_array_new_with_free_func ((GDestroyNotify)sv_endpoint_unref);
   self->last_event = -1;
   sv_events_init (&self->events);
   self->begun_at = ht_call_begun_at (self->call);
-  self->core->parts.dialect->klass->read_ask (self->core->parts.dialect,
-                                              ht_call_request (self->call), &self->ask);
+  self->core->parts.dialect->klass->read_request (self->core->parts.dialect,
+                                                  ht_call_request (self->call), &self->params);
 }
 
 void
-sv_core_take (SvCore *self, HtCall *call)
+sv_core_handle_request (SvCore *self, HtCall *call)
 {
   SvRequest *request = g_new0 (SvRequest, 1);
 
@@ -114,15 +114,15 @@
   request->call = call;
   ht_call_set_data (call, request);
   g_hash_table_add (self->requests, request);
-  prepare (request);
+  init_request (request);
   if (sv_request_admit (request))
     sv_request_send (request);
 }
 
 void
-sv_core_gone (SvCore *self, HtCall *call)
+sv_core_note_disconnect (SvCore *self, HtCall *call)
 {
-  sv_request_gone (ht_call_data (call));
+  sv_request_note_disconnect (ht_call_data (call));
 }
 
 KnlTime
@@ -146,24 +146,24 @@
  * caller could not tell whether it ran.
  */
 void
-sv_core_end_all (SvCore *self)
+sv_core_end_requests (SvCore *self)
 {
-  end_each (self, sv_request_stop);
+  end_requests (self, sv_request_stop);
 }
 
 void
-sv_core_set_outdated (SvCore *self, SvOutdatedFunc since, gpointer data)
+sv_core_set_stale_since (SvCore *self, SvStaleSinceFunc since, gpointer data)
 {
-  self->outdated_since = since;
-  self->outdated_data = data;
+  self->stale_since = since;
+  self->stale_since_data = data;
 }
 
 gboolean
-sv_core_is_outdated (const SvCore *self)
+sv_core_is_stale (const SvCore *self)
 {
   KnlTime since =
-      self->outdated_since != NULL ? self->outdated_since (self->outdated_data) : KNL_NEVER;
-  KnlTime bound = sv_bounds_outdated (&self->bounds);
+      self->stale_since != NULL ? self->stale_since (self->stale_since_data) : KNL_NEVER;
+  KnlTime bound = sv_bounds_max_config_staleness (&self->bounds);
 
   if (since == KNL_NEVER || bound == KNL_NEVER)
     return FALSE;
@@ -173,11 +173,11 @@
 gboolean
 sv_core_is_ready (const SvCore *self)
 {
-  if (self->config == NULL || self->drain_since != 0 || sv_core_is_outdated (self))
+  if (self->config == NULL || self->drain_since != 0 || sv_core_is_stale (self))
     return FALSE;
   if (!self->config->has_workspaces)
     return TRUE;
-  return sv_core_config_age (self) < sv_bounds_key_trust (&self->bounds);
+  return sv_core_config_age (self) < sv_bounds_max_key_staleness (&self->bounds);
 }
 
 static GPtrArray *
@@ -213,8 +213,8 @@
     {
       SvRequest *request = g_ptr_array_index (lost, i);
 
-      sv_request_stop_send (request);
-      sv_request_take_loss (request, "endpoint-restarted", TRUE);
+      sv_request_cancel_send (request);
+      sv_request_handle_loss (request, "endpoint-restarted", TRUE);
     }
 }
 
--- a/serve/core_internal.h
+++ b/serve/core_internal.h
@@ -13,10 +13,10 @@
   SvCoreParts parts;
   SvBounds bounds;
   SvConfig *config;
-  KnlTime begun_at;              /* when this instance started serving */
-  KnlTime confirmed_at;          /* -KNL_NEVER: never */
-  SvOutdatedFunc outdated_since; /* NULL: staleness isn't checked */
-  gpointer outdated_data;
+  KnlTime begun_at;             /* when this instance started serving */
+  KnlTime confirmed_at;         /* -KNL_NEVER: never */
+  SvStaleSinceFunc stale_since; /* NULL: staleness isn't checked */
+  gpointer stale_since_data;
   KnlTime drain_since;  /* 0: not draining */
   GHashTable *requests; /* SvRequest */
   GHashTable *budgets;  /* service -> PolBudget */
@@ -33,12 +33,12 @@
   const SvRoute *route;
   const SvService *service;
   const SvWorkspace *workspace; /* NULL: none */
-  SvAsk ask;
+  SvRequestParams params;
   KnlTime begun_at;
   KnlTime deadline;
   KnlTimerId deadline_timer;
   guint64 fingerprint;
-  guint offers;        /* sends, including those that certainly did not run */
+  guint sends;         /* sends, including those that certainly did not run */
   guint runs;          /* sends that ran or may have run */
   GPtrArray *excluded; /* SvEndpoint that failed this request; holds references */
   /* an endpoint's error answer, owned; forwarded if no later attempt gives a better one */
@@ -52,20 +52,20 @@
   KnlTime sent_at;
   KnlTimerId watch_timer;
   KnlTimerId defer_timer;
-  KnlTimerId move_timer; /* when it is to migrate */
-  KnlTimerId hold_timer; /* limits how long reserved memory may stay unused */
-  HtMessage *answer;     /* set once its head was received; owned by the exchange */
+  KnlTimerId migrate_timer; /* when it is to migrate */
+  KnlTimerId hold_timer;    /* limits how long reserved memory may stay unused */
+  HtMessage *answer;        /* set once its head was received; owned by the exchange */
   SvReply reply;
-  SvRead read;         /* prefill of its prompt, as registered at its endpoints */
-  gboolean is_reading; /* `read` is still registered */
+  SvPrefill prefill;      /* prefill of its prompt, as registered at its endpoints */
+  gboolean is_prefilling; /* `prefill` is still registered */
 
   /* the answer to the caller */
   GString *fields; /* header fields of the first endpoint's answer */
   SvEvents events;
-  gint64 last_event; /* id of the last event forwarded; -1: none */
-  KnlTime first_at;  /* when the first event or the answer was sent; 0: not yet */
-  KnlTime last_at;   /* when bytes were last received from the endpoint */
-  KnlTime event_at;  /* when the last event was sent; 0: none was */
+  gint64 last_event;        /* id of the last event forwarded; -1: none */
+  KnlTime first_sent_at;    /* when the first event or the answer was sent; 0: not yet */
+  KnlTime last_received_at; /* when bytes were last received from the endpoint */
+  KnlTime last_event_at;    /* when the last event was sent; 0: none was */
   KnlTime longest_gap;
 } SvRequest;
 
@@ -86,7 +86,7 @@
 
 /** Whether a newer configuration has been known but missing for longer than the staleness bound;
  * callers are refused then. */
-gboolean sv_core_is_outdated (const SvCore *core);
+gboolean sv_core_is_stale (const SvCore *core);
 
 /* admission.c */
 
@@ -104,9 +104,9 @@
 
 /* move.c */
 
-/** SvFleetReadFunc: a prompt was placed for prefill at endpoints with these keys; `data` is the
+/** SvFleetPrefillFunc: a prompt was placed for prefill at endpoints with these keys; `data` is the
  * core. */
-void sv_core_note_read (const SvRead *read, const guint64 *keys, guint n, gpointer data);
+void sv_core_note_prefill (const SvPrefill *prefill, const guint64 *keys, guint n, gpointer data);
 
 /* attempt.c */
 
@@ -117,30 +117,30 @@
 void sv_request_charge (SvRequest *self, gint sign);
 
 /** Registers the prefill of its prompt at its endpoints, here and at the peers. */
-void sv_request_place_read (SvRequest *self);
+void sv_request_register_prefill (SvRequest *self);
 
 /** Removes the prefill again; no-op if it isn't registered. */
-void sv_request_end_read (SvRequest *self);
+void sv_request_end_prefill (SvRequest *self);
 
 /** Ends a request that won't be sent again, with the best answer available. */
 void sv_request_give_up (SvRequest *self, const char *reason);
 
 /** Whether the service's retry budget allows this instance another retry; doesn't spend it. */
-gboolean sv_request_retry_left (SvRequest *self);
+gboolean sv_request_has_retry_left (SvRequest *self);
 
 /** Cancels the current send, its timers and its reservation; no-op if there is none. */
-void sv_request_stop_send (SvRequest *self);
+void sv_request_cancel_send (SvRequest *self);
 
 /** Handles a send that gave no usable answer: retries it, or ends the request. `ran`: it may have
  * run. */
-void sv_request_take_loss (SvRequest *self, const char *fault, gboolean ran);
+void sv_request_handle_loss (SvRequest *self, const char *fault, gboolean ran);
 
 /* stream.c */
 
 /** Whether the answer being received is forwarded event by event. */
 gboolean sv_request_is_streaming (const SvRequest *self);
 
-void sv_request_take_bytes (SvRequest *self, const char *bytes, gsize length);
+void sv_request_handle_bytes (SvRequest *self, const char *bytes, gsize length);
 
 /** Ends the request: the endpoint's stream is complete. */
 void sv_request_end_stream (SvRequest *self);
@@ -154,13 +154,13 @@
 void sv_request_fail (SvRequest *self, guint status, const char *reason);
 
 /** Forwards a complete answer of an endpoint. */
-void sv_request_pass (SvRequest *self, const HtMessage *answer);
+void sv_request_forward (SvRequest *self, const HtMessage *answer);
 
 /** Ends a stream whose last event has been forwarded. */
 void sv_request_complete_stream (SvRequest *self);
 
 /** The caller has disconnected. */
-void sv_request_gone (SvRequest *self);
+void sv_request_note_disconnect (SvRequest *self);
 
 /** The process exits before the request has ended. */
 void sv_request_stop (SvRequest *self);
--- a/serve/endpoint.c
+++ b/serve/endpoint.c
@@ -11,32 +11,32 @@
 
 /* Reported losses count when two instances report one within the window; a single reporter may have
  * a fault of its own. The backoff is the same as in `health_rule`. */
-static const PolBeliefRule belief_rule = { .sources = 2,
-                                           .window = 2 * KNL_SEC,
-                                           .first = 400 * KNL_MSEC,
-                                           .limit = 4 * KNL_SEC };
+static const PolSharedHealthRule shared_health_rule = { .min_reporters = 2,
+                                                        .window = 2 * KNL_SEC,
+                                                        .first = 400 * KNL_MSEC,
+                                                        .limit = 4 * KNL_SEC };
 
 /* For this long after an answer to this instance, losses that others report are ignored. */
-#define OWN_WORD (1 * KNL_SEC)
+#define OWN_ANSWER_WINDOW (1 * KNL_SEC)
 
 /* A helper that has as many prompts as slots rejects the next one, and has free slots again within
  * a few forward passes. */
-static const PolHealthRule helping_rule = { .first = 100 * KNL_MSEC, .limit = 2 * KNL_SEC };
+static const PolHealthRule helper_health_rule = { .first = 100 * KNL_MSEC, .limit = 2 * KNL_SEC };
 
 /* Slots that are kept free of helper work, as placements by other instances are known only a few
  * ms later. */
-#define HELP_SPARE 2
+#define HELPER_SPARE_SLOTS 2
 
 /* Age up to which an endpoint's own report of its load is used. */
-#define REPORT_LIFE (200 * KNL_MSEC)
+#define REPORT_TTL (200 * KNL_MSEC)
 
 guint
-sv_load_writers (const SvLoad *load)
+sv_load_decoding_streams (const SvLoad *load)
 {
   guint sum = 0;
 
-  for (guint i = 0; i < SV_N_PAUSES; i++)
-    sum += load->writers[i];
+  for (guint i = 0; i < SV_N_GAP_CLASSES; i++)
+    sum += load->decoding_streams[i];
   return sum;
 }
 
@@ -57,13 +57,13 @@
   g_free (self->address);
   g_free (self->zone);
   g_array_unref (self->peers);
-  g_array_unref (self->told_sends);
-  sv_reads_clear (&self->reads);
+  g_array_unref (self->reported_sends);
+  sv_prefills_clear (&self->prefills);
   g_free (self);
 }
 
 gboolean
-sv_endpoint_usable (const SvEndpoint *self, KnlTime now)
+sv_endpoint_is_usable (const SvEndpoint *self, KnlTime now)
 {
   if (self->state != SV_ENDPOINT_READY || pol_health_is_suspended (&self->health, now))
     return FALSE;
@@ -74,9 +74,9 @@
 static void
 count_own_sends (SvEndpoint *self, guint n)
 {
-  if (!pol_limit_is_named (&self->limit))
+  if (!pol_limit_is_advertised (&self->limit))
     return;
-  pol_limit_take (&self->limit, n);
+  pol_limit_charge (&self->limit, n);
   self->sent += n;
   self->sent_in_cell += n;
 }
@@ -85,8 +85,8 @@
 sv_endpoint_charge (SvEndpoint *self, const SvLoad *load, gint sign)
 {
   self->own.calls += (guint)sign * load->calls;
-  for (guint i = 0; i < SV_N_PAUSES; i++)
-    self->own.writers[i] += (guint)sign * load->writers[i];
+  for (guint i = 0; i < SV_N_GAP_CLASSES; i++)
+    self->own.decoding_streams[i] += (guint)sign * load->decoding_streams[i];
   self->own.tokens += (guint64)(gint64)sign * load->tokens;
   if (sign > 0)
     count_own_sends (self, load->calls);
@@ -95,17 +95,17 @@
 }
 
 KnlTime
-sv_endpoint_read_left (SvEndpoint *self, KnlTime now)
+sv_endpoint_prefill_left (SvEndpoint *self, KnlTime now)
 {
-  return sv_reads_left (&self->reads, now);
+  return sv_prefills_time_left (&self->prefills, now);
 }
 
 static void
 add_load (SvLoad *sum, const SvLoad *load, gint sign)
 {
   sum->calls += (guint)sign * load->calls;
-  for (guint i = 0; i < SV_N_PAUSES; i++)
-    sum->writers[i] += (guint)sign * load->writers[i];
+  for (guint i = 0; i < SV_N_GAP_CLASSES; i++)
+    sum->decoding_streams[i] += (guint)sign * load->decoding_streams[i];
   sum->tokens += (guint64)(gint64)sign * load->tokens;
 }
 
@@ -185,7 +185,7 @@
 }
 
 SvLoad
-sv_endpoint_own_cell (const SvEndpoint *self)
+sv_endpoint_own_cell_load (const SvEndpoint *self)
 {
   SvLoad load = self->own;
 
@@ -214,7 +214,7 @@
 
   add_load (&load, &self->others, 1);
   /* The maximum, not the sum: the report includes the requests that peers have announced. */
-  if (now - self->reported_at < REPORT_LIFE)
+  if (now - self->reported_at < REPORT_TTL)
     load.calls = MAX (load.calls, self->reported_calls);
   return load;
 }
@@ -222,8 +222,9 @@
 gboolean
 sv_endpoint_can_help (const SvEndpoint *self, KnlTime now)
 {
-  return !pol_health_is_suspended (&self->helping, now)
-         && sv_reads_n_parts (&self->reads) + HELP_SPARE < MAX (self->slots, HELP_SPARE + 1);
+  return !pol_health_is_suspended (&self->helper_health, now)
+         && sv_prefills_count_parts (&self->prefills) + HELPER_SPARE_SLOTS
+                < MAX (self->slots, HELPER_SPARE_SLOTS + 1);
 }
 
 /*
@@ -233,51 +234,52 @@
  * many received all prompts of an instance.
  */
 void
-sv_endpoint_note_no_help (SvEndpoint *self, KnlTime now)
+sv_endpoint_note_helper_rejection (SvEndpoint *self, KnlTime now)
 {
-  pol_health_note_loss (&self->helping, &helping_rule, now);
+  pol_health_note_loss (&self->helper_health, &helper_health_rule, now);
 }
 
 void
-sv_endpoint_note_help (SvEndpoint *self)
+sv_endpoint_note_helper_success (SvEndpoint *self)
 {
-  pol_health_note_success (&self->helping);
+  pol_health_note_success (&self->helper_health);
 }
 
 gboolean
 sv_endpoint_note_success (SvEndpoint *self, KnlTime now)
 {
-  gboolean was_doubted = pol_belief_is_doubted (&self->belief);
+  gboolean was_doubted = pol_shared_health_has_reports (&self->shared_health);
 
   self->answered_at = now;
   pol_health_note_success (&self->health);
-  pol_belief_note_success (&self->belief);
+  pol_shared_health_note_success (&self->shared_health);
   return was_doubted;
 }
 
 void
-sv_endpoint_note_told_loss (SvEndpoint *self, guint32 teller, KnlTime now)
+sv_endpoint_note_reported_loss (SvEndpoint *self, guint32 reporter, KnlTime now)
 {
-  if (pol_belief_note_loss (&self->belief, &belief_rule, teller, now))
+  if (pol_shared_health_note_loss (&self->shared_health, &shared_health_rule, reporter, now))
     cm_log (CM_LOG_NOTICE, "endpoint-doubted", "s", "endpoint", self->id, "i", "rests",
-            (gint64)self->belief.rests, "i", "until-us", self->belief.suspended_until - now);
+            (gint64)self->shared_health.backoffs, "i", "until-us",
+            self->shared_health.suspended_until - now);
 }
 
 void
-sv_endpoint_note_told_answer (SvEndpoint *self)
+sv_endpoint_note_reported_answer (SvEndpoint *self)
 {
-  pol_belief_note_success (&self->belief);
+  pol_shared_health_note_success (&self->shared_health);
 }
 
 gboolean
-sv_endpoint_is_doubted (const SvEndpoint *self, KnlTime now)
+sv_endpoint_has_shared_backoff (const SvEndpoint *self, KnlTime now)
 {
-  if (self->answered_at > 0 && now - self->answered_at < OWN_WORD)
+  if (self->answered_at > 0 && now - self->answered_at < OWN_ANSWER_WINDOW)
     return FALSE;
-  if (pol_belief_is_suspended (&self->belief, now))
+  if (pol_shared_health_is_suspended (&self->shared_health, now))
     return TRUE;
   /* After a backoff only one request at a time is sent there, by all instances together. */
-  return self->belief.rests > 0 && self->own.calls + self->others.calls > 0;
+  return self->shared_health.backoffs > 0 && self->own.calls + self->others.calls > 0;
 }
 
 void
--- a/serve/endpoint_limit.c
+++ b/serve/endpoint_limit.c
@@ -5,21 +5,21 @@
 
 /* How long it is announced that an endpoint's limit was lifted: several full datagrams are sent
  * in that time. */
-#define LIFTED_TOLD (5 * KNL_SEC)
+#define LIFTED_ANNOUNCE_PERIOD (5 * KNL_SEC)
 
 gboolean
-sv_endpoint_note_limit (SvEndpoint *self, double rate, KnlTime named_at)
+sv_endpoint_note_limit (SvEndpoint *self, double rate, KnlTime advertised_at)
 {
-  gboolean was_named = pol_limit_is_named (&self->limit);
+  gboolean was_named = pol_limit_is_advertised (&self->limit);
 
-  if (!pol_limit_set (&self->limit, rate, named_at))
+  if (!pol_limit_set (&self->limit, rate, advertised_at))
     return FALSE;
   self->own_changed = TRUE;
   self->cell_changed = TRUE;
   if (!was_named)
     {
       self->sent = self->sent_in_cell = 0;
-      g_array_set_size (self->told_sends, 0);
+      g_array_set_size (self->reported_sends, 0);
     }
   return TRUE;
 }
@@ -40,14 +40,14 @@
   return TRUE;
 }
 
-static SvToldSends *
-find_told_sends (const SvEndpoint *self, const SvToldSends *told)
+static SvReportedSends *
+find_reported_sends (const SvEndpoint *self, const SvReportedSends *announced)
 {
-  for (guint i = 0; i < self->told_sends->len; i++)
+  for (guint i = 0; i < self->reported_sends->len; i++)
     {
-      SvToldSends *row = &g_array_index (self->told_sends, SvToldSends, i);
+      SvReportedSends *row = &g_array_index (self->reported_sends, SvReportedSends, i);
 
-      if (row->source == told->source && row->is_cell == told->is_cell)
+      if (row->source == announced->source && row->is_cell == announced->is_cell)
         return row;
     }
   return NULL;
@@ -56,37 +56,37 @@
 /* Number of sends that the report adds. A new reporter has counted the same requests from another
  * time on, so its first report adds none; a reporter whose count has fallen has restarted it. */
 static guint32
-new_sends (const SvToldSends *before, const SvToldSends *told)
+added_sends (const SvReportedSends *before, const SvReportedSends *announced)
 {
   if (before == NULL)
-    return told->sent;
-  if (before->teller != told->teller)
+    return announced->sent;
+  if (before->reporter != announced->reporter)
     return 0;
-  return told->sent >= before->sent ? told->sent - before->sent : told->sent;
+  return announced->sent >= before->sent ? announced->sent - before->sent : announced->sent;
 }
 
 void
-sv_endpoint_note_told_sends (SvEndpoint *self, const SvToldSends *told)
+sv_endpoint_note_reported_sends (SvEndpoint *self, const SvReportedSends *announced)
 {
-  SvToldSends *before = find_told_sends (self, told);
-  guint32 sent = new_sends (before, told);
+  SvReportedSends *before = find_reported_sends (self, announced);
+  guint32 sent = added_sends (before, announced);
 
   if (before != NULL)
-    *before = *told;
+    *before = *announced;
   else
-    g_array_append_val (self->told_sends, *told);
-  pol_limit_take (&self->limit, sent);
-  if (told->is_cell || sent == 0)
+    g_array_append_val (self->reported_sends, *announced);
+  pol_limit_charge (&self->limit, sent);
+  if (announced->is_cell || sent == 0)
     return;
   self->sent_in_cell += sent;
   self->cell_changed = TRUE;
 }
 
 gboolean
-sv_endpoint_tells_limit (const SvEndpoint *self, KnlTime now)
+sv_endpoint_announces_limit (const SvEndpoint *self, KnlTime now)
 {
   const PolLimit *limit = &self->limit;
 
-  return pol_limit_is_named (limit)
-         || (limit->changed_at > 0 && now - limit->changed_at < LIFTED_TOLD);
+  return pol_limit_is_advertised (limit)
+         || (limit->changed_at > 0 && now - limit->changed_at < LIFTED_ANNOUNCE_PERIOD);
 }
--- a/serve/endpoint_words.c
+++ b/serve/endpoint_words.c
@@ -6,32 +6,32 @@
 static void
 note_leaving (const SvReply *self, SvEndpoint *endpoint, KnlTime at)
 {
-  if (!self->is_leaving || endpoint->said_leaving_at > 0)
+  if (!self->is_leaving || endpoint->advertised_leaving_at > 0)
     return;
-  endpoint->said_leaving_at = at;
+  endpoint->advertised_leaving_at = at;
   sv_endpoint_begin_leaving (endpoint, at);
   cm_log (CM_LOG_NOTICE, "endpoint-leaving", "s", "endpoint", endpoint->id, "s", "request",
           self->id, "i", "status", (gint64)self->status);
 }
 
 static void
-note_rest (const SvReply *self, SvEndpoint *endpoint, KnlTime at)
+note_retry_after (const SvReply *self, SvEndpoint *endpoint, KnlTime at)
 {
   if (self->rest == 0)
     return;
-  endpoint->rests_until = MAX (endpoint->rests_until, at + self->rest);
+  endpoint->retry_after_until = MAX (endpoint->retry_after_until, at + self->rest);
   cm_log (CM_LOG_INFO, "endpoint-rest", "s", "endpoint", endpoint->id, "s", "request", self->id,
           "i", "status", (gint64)self->status, "i", "asked-us", self->rest, "i", "until-us",
-          endpoint->rests_until - at);
+          endpoint->retry_after_until - at);
 }
 
 gboolean
-sv_reply_note_words (const SvReply *self, SvEndpoint *endpoint, KnlTime at)
+sv_reply_note_signals (const SvReply *self, SvEndpoint *endpoint, KnlTime at)
 {
   /* The address now belongs to another endpoint, and the signals are about that one. */
   if (self->status == SV_STATUS_MISDIRECTED)
     return FALSE;
   note_leaving (self, endpoint, at);
-  note_rest (self, endpoint, at);
+  note_retry_after (self, endpoint, at);
   return sv_reply_note_limit (self, endpoint, at);
 }
--- a/serve/events.c
+++ b/serve/events.c
@@ -78,20 +78,20 @@
   g_string_append_len (self->text, bytes, (gssize)length);
   while ((event = event_length (self->text->str + done, self->text->len - done)) > 0)
     {
-      SvEvent whole = {
+      SvEvent complete = {
         .bytes = self->text->str + done,
         .length = event,
         .id = event_id (self->text->str + done, event),
       };
 
       done += event;
-      func (&whole, data);
+      func (&complete, data);
     }
   g_string_erase (self->text, 0, (gssize)done);
 }
 
 gboolean
-sv_events_is_torn (const SvEvents *self)
+sv_events_is_incomplete (const SvEvents *self)
 {
   return self->text->len > 0;
 }
--- a/serve/finish.c
+++ b/serve/finish.c
@@ -5,16 +5,16 @@
 
 /* Shortest Retry-After of a refusal. A random factor of 1 to 2 keeps callers that were refused
  * together from returning together. */
-#define RETRY_AFTER (150 * KNL_MSEC)
+#define RETRY_AFTER_MIN (150 * KNL_MSEC)
 
 /* The same where the endpoints are full, as a fraction of the caller's remaining time: a burst
  * lasts for seconds, and a caller that returns during it would be refused again. With the random
  * factor it stays below a third of that time, which is the most that callers honour. */
-#define RETRY_AFTER_FULL_PART 0.16
+#define RETRY_AFTER_FULL_FRACTION 0.16
 
 /* Largest Retry-After in other cases, as a fraction of the caller's remaining time: the rest is
  * needed for its second try. */
-#define RETRY_AFTER_PART 0.2
+#define RETRY_AFTER_MAX_FRACTION 0.2
 
 /* Classes of requests with prompts in the metrics, by the least number of prompt tokens. */
 static const struct
@@ -28,11 +28,11 @@
 };
 
 static const char *
-class_of (const SvRequest *self)
+metrics_class_of (const SvRequest *self)
 {
   for (guint i = 0; i < G_N_ELEMENTS (length_classes); i++)
     {
-      if (self->ask.prompt_tokens >= length_classes[i].tokens)
+      if (self->params.prompt_tokens >= length_classes[i].tokens)
         return length_classes[i].name;
     }
   if (self->route == NULL)
@@ -45,17 +45,17 @@
 {
   const SvCore *core = self->core;
 
-  cm_log (CM_LOG_INFO, "request-ended", "s", "request", self->ask.id, "s", "route",
+  cm_log (CM_LOG_INFO, "request-ended", "s", "request", self->params.id, "s", "route",
           self->route != NULL ? self->route->name : NULL, "s", "workspace",
           self->workspace != NULL ? self->workspace->name : NULL, "i", "status",
           (gint64)outcome->status, "s", "reason", outcome->reason, "s", "endpoint",
           self->placement.first != NULL ? self->placement.first->id : NULL, "i", "sends",
-          (gint64)self->offers, "s", "last-fault", self->last_fault, "i", "prompt-tokens",
-          (gint64)self->ask.prompt_tokens, "i", "parts", (gint64)self->placement.n_helpers + 1, "i",
-          "expected-us", (gint64)self->placement.expected, "i", "first-us",
-          self->first_at > 0 ? self->first_at - self->begun_at : (gint64)-1, "i", "total-us",
-          now - self->begun_at, "i", "longest-gap-us", self->longest_gap, "i", "objective-us",
-          self->route != NULL ? self->route->objective : 0, "i", "gap-objective-us",
+          (gint64)self->sends, "s", "last-fault", self->last_fault, "i", "prompt-tokens",
+          (gint64)self->params.prompt_tokens, "i", "parts", (gint64)self->placement.n_helpers + 1,
+          "i", "expected-us", (gint64)self->placement.expected, "i", "first-us",
+          self->first_sent_at > 0 ? self->first_sent_at - self->begun_at : (gint64)-1, "i",
+          "total-us", now - self->begun_at, "i", "longest-gap-us", self->longest_gap, "i",
+          "objective-us", self->route != NULL ? self->route->objective : 0, "i", "gap-objective-us",
           self->route != NULL ? self->route->gap_objective : 0, "i", "config",
           self->config != NULL ? (gint64)self->config->version : (gint64)-1, "i", "config-age-us",
           core->confirmed_at > 0 ? now - core->confirmed_at : (gint64)-1);
@@ -67,11 +67,11 @@
 note_end (const SvRequest *self, const SvOutcome *outcome)
 {
   KnlTime now = knl_kernel_now (self->core->parts.kernel);
-  SvMeasured measured = {
+  SvRequestMeasures measured = {
     .workspace = self->workspace != NULL ? self->workspace->name : "",
-    .route_class = class_of (self),
+    .route_class = metrics_class_of (self),
     .outcome = outcome->reason,
-    .first = self->first_at > 0 ? self->first_at - self->begun_at : 0,
+    .first = self->first_sent_at > 0 ? self->first_sent_at - self->begun_at : 0,
     .total = now - self->begun_at,
   };
 
@@ -84,7 +84,7 @@
 {
   SvCore *core = self->core;
 
-  sv_request_stop_send (self);
+  sv_request_cancel_send (self);
   knl_timer_stop (core->parts.kernel, &self->deadline_timer);
   g_hash_table_remove (core->requests, self);
   g_ptr_array_unref (self->excluded);
@@ -98,7 +98,7 @@
 }
 
 void
-sv_request_gone (SvRequest *self)
+sv_request_note_disconnect (SvRequest *self)
 {
   static const SvOutcome gone = { .reason = "caller-left" };
 
@@ -107,10 +107,10 @@
 }
 
 static void
-answer_own (SvRequest *self, guint status, KnlTime retry_after)
+send_own_answer (SvRequest *self, guint status, KnlTime retry_after)
 {
   SvDialect *dialect = self->core->parts.dialect;
-  GString *fields = dialect->klass->write_refusal (dialect, &self->ask, retry_after);
+  GString *fields = dialect->klass->write_refusal (dialect, &self->params, retry_after);
 
   ht_call_answer (self->call, status, fields->str, NULL, 0);
   g_string_free (fields, TRUE);
@@ -121,16 +121,16 @@
 {
   KnlKernel *kernel = self->core->parts.kernel;
   KnlTime delay =
-      (KnlTime)((double)RETRY_AFTER * g_rand_double_range (knl_kernel_rand (kernel), 1, 2));
+      (KnlTime)((double)RETRY_AFTER_MIN * g_rand_double_range (knl_kernel_rand (kernel), 1, 2));
   KnlTime left = self->deadline - knl_kernel_now (kernel);
 
-  if (self->placement.limited > 0)
-    return self->placement.limited + delay;
+  if (self->placement.limit_wait > 0)
+    return self->placement.limit_wait + delay;
   if ((self->placement.is_full || self->placement.lacks_memory) && self->deadline != KNL_NEVER)
-    return (KnlTime)(RETRY_AFTER_FULL_PART * (double)MAX (left, 0)
+    return (KnlTime)(RETRY_AFTER_FULL_FRACTION * (double)MAX (left, 0)
                      * g_rand_double_range (knl_kernel_rand (kernel), 1, 2));
   if (self->deadline != KNL_NEVER && self->deadline > 0)
-    delay = MIN (delay, (KnlTime)(RETRY_AFTER_PART * (double)MAX (left, 0)));
+    delay = MIN (delay, (KnlTime)(RETRY_AFTER_MAX_FRACTION * (double)MAX (left, 0)));
   return delay;
 }
 
@@ -140,7 +140,7 @@
   SvOutcome outcome = { .status = status, .reason = reason };
 
   note_end (self, &outcome);
-  answer_own (self, status, retry_after_of (self));
+  send_own_answer (self, status, retry_after_of (self));
   request_free (self);
 }
 
@@ -153,7 +153,7 @@
   if (ht_call_has_begun (self->call))
     ht_call_abort (self->call);
   else
-    answer_own (self, status, 0);
+    send_own_answer (self, status, 0);
   request_free (self);
 }
 
@@ -167,7 +167,7 @@
 }
 
 void
-sv_request_pass (SvRequest *self, const HtMessage *answer)
+sv_request_forward (SvRequest *self, const HtMessage *answer)
 {
   SvDialect *dialect = self->core->parts.dialect;
   GString *fields = dialect->klass->write_reply (dialect, answer);
@@ -176,7 +176,7 @@
     .reason = answer->status < 300 ? "answered" : "endpoint-failed",
   };
 
-  self->first_at = knl_kernel_now (self->core->parts.kernel);
+  self->first_sent_at = knl_kernel_now (self->core->parts.kernel);
   note_end (self, &outcome);
   ht_call_answer (self->call, answer->status, fields->str, answer->body->str, answer->body->len);
   g_string_free (fields, TRUE);
--- a/serve/fleet.c
+++ b/serve/fleet.c
@@ -5,14 +5,14 @@
 
 #include "common/log.h"
 
-/* From READS_SWEPT registered prefills on, those older than SV_READ_LIFE, whose end was never
- * reported, are removed. That is done at most once in SWEEP_INTERVAL: under load most are younger,
- * and every new prefill would scan all of them. */
-#define READS_SWEPT    1024
-#define SWEEP_INTERVAL (SV_READ_LIFE / 4)
+/* From PREFILL_SWEEP_THRESHOLD registered prefills on, those older than SV_PREFILL_TTL, whose end
+ * was never reported, are removed. That is done at most once in SWEEP_INTERVAL: under load most are
+ * younger, and every new prefill would scan all of them. */
+#define PREFILL_SWEEP_THRESHOLD 1024
+#define SWEEP_INTERVAL          (SV_PREFILL_TTL / 4)
 
 /* Most endpoints that share the prefill of one prompt. */
-#define READERS_MOST 17
+#define MAX_PREFILL_ENDPOINTS 17
 
 /* The endpoints where the prefill of a prompt is placed. */
 typedef struct
@@ -20,8 +20,8 @@
   guint64 prompt;
   KnlTime placed_at;
   guint n;
-  guint64 keys[READERS_MOST];
-} PlacedRead;
+  guint64 keys[MAX_PREFILL_ENDPOINTS];
+} PlacedPrefill;
 
 struct SvFleet
 {
@@ -31,16 +31,16 @@
   GHashTable *by_key;   /* &key -> SvEndpoint */
   GHashTable *services; /* name -> GPtrArray of SvEndpoint by key */
   GPtrArray *all;
-  GHashTable *reads;    /* prompt -> PlacedRead */
-  KnlTime swept_at;     /* when `reads` was last swept */
+  GHashTable *prefills; /* prompt -> PlacedPrefill */
+  KnlTime swept_at;     /* when `prefills` was last swept */
   GHashTable *unlisted; /* ids not yet seen in the list being applied; NULL: no list is */
   guint known;          /* see sv_fleet_set_instances() */
-  guint heard;
+  guint reachable;
   guint64 seed; /* random, differs between instances */
   SvReplacedFunc on_replaced;
   gpointer on_replaced_data;
-  SvFleetReadFunc on_read;
-  gpointer on_read_data;
+  SvFleetPrefillFunc on_prefill;
+  gpointer on_prefill_data;
 };
 
 SvFleet *
@@ -55,9 +55,9 @@
   self->by_key = g_hash_table_new (g_int64_hash, g_int64_equal);
   self->services =
       g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
-  self->reads = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
+  self->prefills = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   self->all = g_ptr_array_new ();
-  self->known = self->heard = 1;
+  self->known = self->reachable = 1;
   self->seed = g_rand_int (knl_kernel_rand (kernel));
   return self;
 }
@@ -69,7 +69,7 @@
     return;
   if (self->unlisted != NULL)
     g_hash_table_unref (self->unlisted);
-  g_hash_table_unref (self->reads);
+  g_hash_table_unref (self->prefills);
   g_ptr_array_unref (self->all);
   g_hash_table_unref (self->services);
   g_hash_table_unref (self->by_key);
@@ -112,10 +112,10 @@
   /* The key depends on the start, so that reports about an earlier start aren't applied to this
    * one. */
   endpoint->key = XXH64 (entry->id, strlen (entry->id), entry->start);
-  sv_reads_init (&endpoint->reads);
+  sv_prefills_init (&endpoint->prefills);
   pol_limit_init (&endpoint->limit);
-  endpoint->told_rate = POL_NO_LIMIT;
-  endpoint->told_sends = g_array_new (FALSE, FALSE, sizeof (SvToldSends));
+  endpoint->announced_rate = POL_NO_LIMIT;
+  endpoint->reported_sends = g_array_new (FALSE, FALSE, sizeof (SvReportedSends));
   endpoint->peers = g_array_new (FALSE, FALSE, sizeof (SvPeerLoad));
   if (service == NULL)
     {
@@ -188,7 +188,7 @@
   endpoint->is_unlisted = FALSE;
   /* The list may lag behind what the endpoint advertised, for as long as the store is unavailable.
    */
-  if (entry->draining || endpoint->said_leaving_at > 0)
+  if (entry->draining || endpoint->advertised_leaving_at > 0)
     sv_endpoint_begin_leaving (endpoint, knl_kernel_now (self->kernel));
   else
     endpoint->state = SV_ENDPOINT_READY;
@@ -218,7 +218,7 @@
     {
       SvEndpoint *endpoint = g_ptr_array_index (self->all, i - 1);
 
-      if (endpoint->is_unlisted && sv_endpoint_is_gone (self, endpoint))
+      if (endpoint->is_unlisted && sv_endpoint_has_left (self, endpoint))
         drop (self, endpoint);
     }
 }
@@ -258,61 +258,62 @@
 }
 
 static gboolean
-is_forgotten (gpointer prompt, gpointer value, gpointer now)
+is_expired (gpointer prompt, gpointer value, gpointer now)
 {
-  return *(KnlTime *)now - ((PlacedRead *)value)->placed_at > SV_READ_LIFE;
+  return *(KnlTime *)now - ((PlacedPrefill *)value)->placed_at > SV_PREFILL_TTL;
 }
 
 static void
-keep_readers (SvFleet *self, guint64 prompt, const guint64 *keys, guint n)
+record_prefill (SvFleet *self, guint64 prompt, const guint64 *keys, guint n)
 {
-  PlacedRead *placed = g_new0 (PlacedRead, 1);
+  PlacedPrefill *placed = g_new0 (PlacedPrefill, 1);
   KnlTime now = knl_kernel_now (self->kernel);
 
-  if (g_hash_table_size (self->reads) >= READS_SWEPT && now - self->swept_at >= SWEEP_INTERVAL)
+  if (g_hash_table_size (self->prefills) >= PREFILL_SWEEP_THRESHOLD
+      && now - self->swept_at >= SWEEP_INTERVAL)
     {
       self->swept_at = now;
-      g_hash_table_foreach_remove (self->reads, is_forgotten, &now);
+      g_hash_table_foreach_remove (self->prefills, is_expired, &now);
     }
   placed->prompt = prompt;
   placed->placed_at = now;
-  placed->n = MIN (n, READERS_MOST);
+  placed->n = MIN (n, MAX_PREFILL_ENDPOINTS);
   memcpy (placed->keys, keys, placed->n * sizeof *keys);
-  g_hash_table_replace (self->reads, &placed->prompt, placed);
+  g_hash_table_replace (self->prefills, &placed->prompt, placed);
 }
 
 void
-sv_fleet_add_read (SvFleet *self, const SvRead *read, const guint64 *keys, guint n)
+sv_fleet_add_prefill (SvFleet *self, const SvPrefill *prefill, const guint64 *keys, guint n)
 {
   KnlTime now = knl_kernel_now (self->kernel);
 
   /* Duplicates are normal: two relays may forward it for a short time, and a newly started instance
    * is sent all prefills. */
-  if (g_hash_table_contains (self->reads, &read->prompt))
+  if (g_hash_table_contains (self->prefills, &prefill->prompt))
     return;
   for (guint i = 0; i < n; i++)
     {
       SvEndpoint *endpoint = sv_fleet_by_key (self, keys[i]);
 
       if (endpoint != NULL)
-        sv_reads_add (&endpoint->reads, read, now);
+        sv_prefills_add (&endpoint->prefills, prefill, now);
     }
-  keep_readers (self, read->prompt, keys, n);
-  if (self->on_read != NULL)
-    self->on_read (read, keys, n, self->on_read_data);
+  record_prefill (self, prefill->prompt, keys, n);
+  if (self->on_prefill != NULL)
+    self->on_prefill (prefill, keys, n, self->on_prefill_data);
 }
 
 void
-sv_fleet_on_read (SvFleet *self, SvFleetReadFunc func, gpointer data)
+sv_fleet_on_prefill (SvFleet *self, SvFleetPrefillFunc func, gpointer data)
 {
-  self->on_read = func;
-  self->on_read_data = data;
+  self->on_prefill = func;
+  self->on_prefill_data = data;
 }
 
 void
-sv_fleet_end_read (SvFleet *self, guint64 prompt)
+sv_fleet_end_prefill (SvFleet *self, guint64 prompt)
 {
-  const PlacedRead *placed = g_hash_table_lookup (self->reads, &prompt);
+  const PlacedPrefill *placed = g_hash_table_lookup (self->prefills, &prompt);
   KnlTime now = knl_kernel_now (self->kernel);
 
   if (placed == NULL)
@@ -322,44 +323,44 @@
       SvEndpoint *endpoint = sv_fleet_by_key (self, placed->keys[i]);
 
       if (endpoint != NULL)
-        sv_reads_end (&endpoint->reads, prompt, now);
+        sv_prefills_end (&endpoint->prefills, prompt, now);
     }
-  g_hash_table_remove (self->reads, &prompt);
+  g_hash_table_remove (self->prefills, &prompt);
 }
 
 void
-sv_fleet_each_read (SvFleet *self, SvFleetReadFunc func, gpointer data)
+sv_fleet_each_prefill (SvFleet *self, SvFleetPrefillFunc func, gpointer data)
 {
   KnlTime now = knl_kernel_now (self->kernel);
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, self->reads);
+  g_hash_table_iter_init (&iter, self->prefills);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const PlacedRead *placed = value;
+      const PlacedPrefill *placed = value;
       SvEndpoint *first = placed->n > 0 ? sv_fleet_by_key (self, placed->keys[0]) : NULL;
-      SvRead read;
+      SvPrefill prefill;
 
-      if (first != NULL && sv_reads_find (&first->reads, placed->prompt, now, &read)
-          && read.until_told)
-        func (&read, placed->keys, placed->n, data);
+      if (first != NULL && sv_prefills_find (&first->prefills, placed->prompt, now, &prefill)
+          && prefill.until_told)
+        func (&prefill, placed->keys, placed->n, data);
     }
 }
 
 void
-sv_fleet_set_instances (SvFleet *self, guint known, guint heard)
+sv_fleet_set_instances (SvFleet *self, guint known, guint reachable)
 {
   self->known = MAX (known, 1);
-  self->heard = CLAMP (heard, 1, self->known);
+  self->reachable = CLAMP (reachable, 1, self->known);
 }
 
 /* Pseudo-random number in [0, 1) that changes with each request counted against the limit; 0 if
  * this is the only instance. */
 static double
-limit_spread (const SvFleet *fleet, const SvEndpoint *endpoint)
+limit_jitter (const SvFleet *fleet, const SvEndpoint *endpoint)
 {
-  guint64 drawn[3] = { fleet->seed, endpoint->key, endpoint->limit.n_taken };
+  guint64 drawn[3] = { fleet->seed, endpoint->key, endpoint->limit.n_charged };
 
   return fleet->known == 1 ? 0 : (double)(XXH64 (drawn, sizeof drawn, 0) >> 11) / 0x1p53;
 }
@@ -370,17 +371,17 @@
   PolLimitShare share;
 
   /* Called for every endpoint and request, so the common case returns early. */
-  if (!pol_limit_is_named (&self->limit))
+  if (!pol_limit_is_advertised (&self->limit))
     return 0;
-  share = (PolLimitShare){ .part = (double)fleet->heard / fleet->known,
-                           .spread = limit_spread (fleet, self) };
+  share = (PolLimitShare){ .fraction = (double)fleet->reachable / fleet->known,
+                           .spread = limit_jitter (fleet, self) };
   return pol_limit_wait (&self->limit, &share, now);
 }
 
 KnlTime
-sv_endpoint_wait (const SvFleet *fleet, SvEndpoint *self, KnlTime now)
+sv_endpoint_wait_time (const SvFleet *fleet, SvEndpoint *self, KnlTime now)
 {
-  return MAX (self->rests_until - now, limit_wait (fleet, self, now));
+  return MAX (self->retry_after_until - now, limit_wait (fleet, self, now));
 }
 
 const GPtrArray *
@@ -399,14 +400,14 @@
 }
 
 gboolean
-sv_endpoint_is_gone (const SvFleet *fleet, const SvEndpoint *self)
+sv_endpoint_has_left (const SvFleet *fleet, const SvEndpoint *self)
 {
   return self->state == SV_ENDPOINT_LEAVING
          && knl_kernel_now (fleet->kernel) - self->leaving_since > fleet->leave_grace;
 }
 
 gboolean
-sv_endpoint_last_resort (const SvFleet *fleet, const SvEndpoint *self)
+sv_endpoint_is_last_resort (const SvFleet *fleet, const SvEndpoint *self)
 {
-  return !sv_endpoint_is_gone (fleet, self);
+  return !sv_endpoint_has_left (fleet, self);
 }
--- a/serve/meters.c
+++ b/serve/meters.c
@@ -37,7 +37,7 @@
   .labels = { "service" },
 };
 
-static const CmMetricDef late_def = {
+static const CmMetricDef first_event_error_def = {
   .name = "alderturn_first_event_error_seconds",
   .help = "Absolute difference between expected and actual time to the first event",
   .type = CM_METRIC_HISTOGRAM,
@@ -52,7 +52,7 @@
   CmMetric *total;
   CmMetric *sends;
   CmMetric *limited;
-  CmMetric *late;
+  CmMetric *first_event_error;
 };
 
 SvMeters *
@@ -65,7 +65,7 @@
   self->total = cm_metrics_add (metrics, &total_def);
   self->sends = cm_metrics_add (metrics, &sends_def);
   self->limited = cm_metrics_add (metrics, &limited_def);
-  self->late = cm_metrics_add (metrics, &late_def);
+  self->first_event_error = cm_metrics_add (metrics, &first_event_error_def);
   return self;
 }
 
@@ -76,7 +76,7 @@
 }
 
 void
-sv_meters_note_request (SvMeters *self, const SvMeasured *measured)
+sv_meters_note_request (SvMeters *self, const SvRequestMeasures *measured)
 {
   const char *workspace = measured->workspace;
   const char *class = measured->route_class;
@@ -102,10 +102,11 @@
 }
 
 void
-sv_meters_note_prediction (SvMeters *self, KnlTime expected, KnlTime seen)
+sv_meters_note_prediction (SvMeters *self, KnlTime expected, KnlTime actual)
 {
-  KnlTime error = seen - expected;
+  KnlTime error = actual - expected;
 
-  cm_series_record (cm_metric_series (self->late, error > 0 ? "late" : "early", NULL, NULL),
-                    (guint64)ABS (error));
+  cm_series_record (
+      cm_metric_series (self->first_event_error, error > 0 ? "late" : "early", NULL, NULL),
+      (guint64)ABS (error));
 }
--- a/serve/move.c
+++ b/serve/move.c
@@ -11,39 +11,39 @@
 
 /* Random delay of a migration. All streams of an engine are notified of a prefill at the same time
  * and would choose the same target; the choice of one is known to the others after some 5 ms. */
-#define MOVE_SPREAD (30 * KNL_MSEC)
+#define MIGRATION_JITTER (30 * KNL_MSEC)
 
 /* A gap counts as late from this fraction of the stream's gap objective. */
-#define LATE_PART 0.9
+#define LATE_FRACTION 0.9
 
 /* Gap expected at the current engine: its prefill backlog, the new part included, and a pass. */
 static KnlTime
-pause_here (const SvRequest *self)
+expected_gap (const SvRequest *self)
 {
   SvEndpoint *endpoint = self->placement.first;
   KnlTime now = sv_request_now (self);
   SvLoad load = sv_endpoint_load (endpoint, now);
-  double pass =
-      sv_model_pass_ms (&self->service->engine, sv_load_writers (&load), (double)load.tokens);
+  double pass = sv_model_pass_ms (&self->service->engine, sv_load_decoding_streams (&load),
+                                  (double)load.tokens);
 
-  return sv_endpoint_read_left (endpoint, now) + (KnlTime)(pass * KNL_MSEC);
+  return sv_endpoint_prefill_left (endpoint, now) + (KnlTime)(pass * KNL_MSEC);
 }
 
 static KnlTime
-bearable (const SvRequest *self)
+max_gap (const SvRequest *self)
 {
-  return (KnlTime)(LATE_PART * (double)self->route->gap_objective);
+  return (KnlTime)(LATE_FRACTION * (double)self->route->gap_objective);
 }
 
 /* A stream that has already missed its gap objective has nothing to gain. */
 static gboolean
-may_move (const SvRequest *self)
+can_migrate (const SvRequest *self)
 {
-  return self->exchange != NULL && self->event_at > 0 && self->route->resumable
-         && sv_pause_of (self->route->gap_objective) == SV_PAUSE_TIGHT
+  return self->exchange != NULL && self->last_event_at > 0 && self->route->resumable
+         && sv_gap_class_of (self->route->gap_objective) == SV_GAP_TIGHT
          && self->longest_gap <= self->route->gap_objective
          && self->runs + 1 < self->route->max_attempts && sv_service_is_engine (self->service)
-         && pause_here (self) > bearable (self);
+         && expected_gap (self) > max_gap (self);
 }
 
 static void
@@ -51,24 +51,24 @@
 {
   SvRequest *self = data;
   SvPlacement placement;
-  KnlTime paused;
+  KnlTime gap;
 
-  self->move_timer = 0;
-  if (!may_move (self) || !sv_request_retry_left (self))
+  self->migrate_timer = 0;
+  if (!can_migrate (self) || !sv_request_has_retry_left (self))
     return;
-  paused = sv_request_now (self) - self->event_at;
+  gap = sv_request_now (self) - self->last_event_at;
   if (!sv_request_try_place (self, self->placement.first, &placement)
-      || paused + placement.expected > bearable (self))
+      || gap + placement.expected > max_gap (self))
     return;
-  cm_log (CM_LOG_INFO, "stream-moved", "s", "request", self->ask.id, "s", "endpoint",
-          self->placement.first->id, "s", "to", placement.first->id, "i", "gap-us", paused, "i",
-          "expected-gap-us", pause_here (self), "i", "expected-us", placement.expected);
-  sv_request_stop_send (self);
-  sv_request_take_loss (self, "made-way", TRUE);
+  cm_log (CM_LOG_INFO, "stream-moved", "s", "request", self->params.id, "s", "endpoint",
+          self->placement.first->id, "s", "to", placement.first->id, "i", "gap-us", gap, "i",
+          "expected-gap-us", expected_gap (self), "i", "expected-us", placement.expected);
+  sv_request_cancel_send (self);
+  sv_request_handle_loss (self, "made-way", TRUE);
 }
 
 static gboolean
-is_read_at (const SvRequest *self, const guint64 *keys, guint n)
+is_prefilled_at (const SvRequest *self, const guint64 *keys, guint n)
 {
   for (guint i = 0; i < n; i++)
     {
@@ -79,24 +79,25 @@
 }
 
 void
-sv_core_note_read (const SvRead *read, const guint64 *keys, guint n, gpointer data)
+sv_core_note_prefill (const SvPrefill *prefill, const guint64 *keys, guint n, gpointer data)
 {
   SvCore *self = data;
   KnlKernel *kernel = self->parts.kernel;
   GHashTableIter iter;
   gpointer key;
 
-  if (!read->until_told)
+  if (!prefill->until_told)
     return;
   g_hash_table_iter_init (&iter, self->requests);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     {
       SvRequest *request = key;
 
-      if (request->move_timer != 0 || !is_read_at (request, keys, n) || !may_move (request))
+      if (request->migrate_timer != 0 || !is_prefilled_at (request, keys, n)
+          || !can_migrate (request))
         continue;
-      request->move_timer =
-          knl_timer_start (kernel, g_rand_int_range (knl_kernel_rand (kernel), 0, MOVE_SPREAD),
+      request->migrate_timer =
+          knl_timer_start (kernel, g_rand_int_range (knl_kernel_rand (kernel), 0, MIGRATION_JITTER),
                            on_move_due, request);
     }
 }
--- a/serve/peers.c
+++ b/serve/peers.c
@@ -9,23 +9,23 @@
 
 /* Interval of the heartbeats to the peers of the cell. It grows with the number of peers, so that
  * the heartbeats that an instance receives per second stay bounded. */
-#define BEAT_INTERVAL (400 * KNL_MSEC)
-#define BEAT_PER_PEER (8 * KNL_MSEC)
+#define HEARTBEAT_INTERVAL          (400 * KNL_MSEC)
+#define HEARTBEAT_INTERVAL_PER_PEER (8 * KNL_MSEC)
 
 /* One of this many heartbeats is a full datagram, with the identity and all load in flight, which
  * repairs state after lost datagrams; the others are short and only show that the instance is
  * alive. */
-#define BEATS_A_WHOLE 4
+#define HEARTBEATS_PER_FULL 4
 
 /* Consecutive heartbeats that may be lost before a peer counts as dead. */
-#define SILENT_BEATS 3
+#define MAX_MISSED_HEARTBEATS 3
 
 /* A peer that was silent for this long is removed; its row in the store adds it again. */
-#define FORGET_AFTER (30 * KNL_SEC)
+#define PEER_TTL (30 * KNL_SEC)
 
 /* Datagrams handled in one callback, so that connections of callers and endpoints aren't delayed;
  * the socket stays readable if there are more. */
-#define DATAGRAMS_A_TURN 64
+#define MAX_DATAGRAMS_PER_CALLBACK 64
 
 static void
 peer_free (gpointer data)
@@ -65,25 +65,26 @@
 }
 
 static KnlTime
-beat_interval (const SvPeers *self)
+heartbeat_interval (const SvPeers *self)
 {
-  return MAX (BEAT_INTERVAL, (KnlTime)self->n_in_cell * BEAT_PER_PEER);
+  return MAX (HEARTBEAT_INTERVAL, (KnlTime)self->n_in_cell * HEARTBEAT_INTERVAL_PER_PEER);
 }
 
 gboolean
 sv_peer_is_alive (const SvPeers *self, const Peer *peer)
 {
-  return peer->heard_at > 0
-         && knl_kernel_now (self->kernel) - peer->heard_at < SILENT_BEATS * beat_interval (self);
+  return peer->last_seen_at > 0
+         && knl_kernel_now (self->kernel) - peer->last_seen_at
+                < MAX_MISSED_HEARTBEATS * heartbeat_interval (self);
 }
 
 static gboolean
-is_forgotten (gpointer key, gpointer value, gpointer data)
+is_expired (gpointer key, gpointer value, gpointer data)
 {
   SvPeers *self = data;
   Peer *peer = value;
 
-  if (knl_kernel_now (self->kernel) - MAX (peer->heard_at, peer->learned_at) <= FORGET_AFTER)
+  if (knl_kernel_now (self->kernel) - MAX (peer->last_seen_at, peer->discovered_at) <= PEER_TTL)
     return FALSE;
   /* An instance that moved keeps its name, and so its id, at its new address. */
   if (g_hash_table_lookup (self->by_id, GUINT_TO_POINTER (peer->id)) == peer)
@@ -126,15 +127,16 @@
   g_hash_table_iter_init (&iter, self->peers);
   while (g_hash_table_iter_next (&iter, NULL, &peer))
     drop_silent (self, peer);
-  g_hash_table_foreach_remove (self->peers, is_forgotten, self);
+  g_hash_table_foreach_remove (self->peers, is_expired, self);
   self->n_in_cell = sv_peers_n_in_zone (self, self->self.zone);
   share_limits (self);
-  if (self->beats++ % BEATS_A_WHOLE == 0)
-    sv_peers_send_whole (self, NULL);
+  if (self->n_heartbeats++ % HEARTBEATS_PER_FULL == 0)
+    sv_peers_send_full (self, NULL);
   else
-    sv_peers_send_beat (self);
-  sv_relay_beat (self);
-  self->beat_timer = knl_timer_start (self->kernel, beat_interval (self), on_beat_due, self);
+    sv_peers_send_heartbeat (self);
+  sv_relay_on_heartbeat (self);
+  self->heartbeat_timer =
+      knl_timer_start (self->kernel, heartbeat_interval (self), on_beat_due, self);
 }
 
 Peer *
@@ -144,8 +146,8 @@
 
   peer->link_address = g_strdup (link_address);
   peer->socket_length = sizeof peer->socket_address;
-  peer->heard_at = -KNL_NEVER;
-  peer->known_since = peer->learned_at = knl_kernel_now (self->kernel);
+  peer->last_seen_at = -KNL_NEVER;
+  peer->known_since = peer->discovered_at = knl_kernel_now (self->kernel);
   if (evutil_parse_sockaddr_port (link_address, (struct sockaddr *)&peer->socket_address,
                                   &peer->socket_length)
       != 0)
@@ -159,7 +161,7 @@
 }
 
 void
-sv_peers_learn (SvPeers *self, const SvMember *member)
+sv_peers_discover (SvPeers *self, const SvMember *member)
 {
   Peer *peer;
 
@@ -168,7 +170,7 @@
   peer = g_hash_table_lookup (self->peers, member->link_address);
   if (peer != NULL)
     {
-      peer->learned_at = knl_kernel_now (self->kernel);
+      peer->discovered_at = knl_kernel_now (self->kernel);
       return;
     }
   peer = sv_peers_add (self, member->link_address);
@@ -178,17 +180,17 @@
   peer->strength = member->strength;
   peer->id = id_of (member->name);
   if (sv_cells_of_zone (self, member->zone) == NULL)
-    sv_peers_send_whole (self, peer);
+    sv_peers_send_full (self, peer);
 }
 
 KnlTime
-sv_peers_silence (const SvPeers *self, const char *link_address)
+sv_peers_silent_time (const SvPeers *self, const char *link_address)
 {
   const Peer *peer = g_hash_table_lookup (self->peers, link_address);
 
   if (peer == NULL || !sv_peer_is_in_cell (self, peer))
     return 0;
-  return knl_kernel_now (self->kernel) - MAX (peer->heard_at, peer->known_since);
+  return knl_kernel_now (self->kernel) - MAX (peer->last_seen_at, peer->known_since);
 }
 
 static void
@@ -196,15 +198,15 @@
 {
   SvPeers *self = data;
   KnlTime begun = knl_kernel_now (self->kernel);
-  guint8 bytes[DATAGRAM_BYTES];
+  guint8 bytes[MAX_DATAGRAM_BYTES];
 
-  for (guint i = 0; i < DATAGRAMS_A_TURN; i++)
+  for (guint i = 0; i < MAX_DATAGRAMS_PER_CALLBACK; i++)
     {
       ssize_t length = recv (fd, bytes, sizeof bytes, MSG_DONTWAIT);
 
       if (length <= 0)
         break;
-      sv_peers_take_bytes (self, bytes, (gsize)length);
+      sv_peers_receive_bytes (self, bytes, (gsize)length);
     }
   knl_span_end (self->kernel, begun, __FILE__ ":on_readable");
 }
@@ -249,15 +251,15 @@
   self->peers = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, peer_free);
   self->by_id = g_hash_table_new (NULL, NULL);
   self->cells = g_hash_table_new_full (NULL, NULL, NULL, sv_cell_free);
-  self->passing = g_ptr_array_new_with_free_func ((GDestroyNotify)g_bytes_unref);
-  sv_news_init (&self->news);
-  sv_news_init (&self->cell_news);
+  self->forward_queue = g_ptr_array_new_with_free_func ((GDestroyNotify)g_bytes_unref);
+  sv_outbox_init (&self->outbox);
+  sv_outbox_init (&self->cell_outbox);
   if (!open_socket (self, base))
     {
       sv_peers_free (self);
       return NULL;
     }
-  self->beat_timer = knl_timer_start (kernel, beat_interval (self), on_beat_due, self);
+  self->heartbeat_timer = knl_timer_start (kernel, heartbeat_interval (self), on_beat_due, self);
   return self;
 }
 
@@ -266,7 +268,7 @@
 {
   if (self == NULL)
     return;
-  knl_timer_stop (self->kernel, &self->beat_timer);
+  knl_timer_stop (self->kernel, &self->heartbeat_timer);
   knl_timer_stop (self->kernel, &self->change_timer);
   if (self->readable != NULL)
     event_free (self->readable);
@@ -276,9 +278,9 @@
   g_hash_table_unref (self->cells);
   g_hash_table_unref (self->by_id);
   g_hash_table_unref (self->peers);
-  g_ptr_array_unref (self->passing);
-  sv_news_clear (&self->news);
-  sv_news_clear (&self->cell_news);
+  g_ptr_array_unref (self->forward_queue);
+  sv_outbox_clear (&self->outbox);
+  sv_outbox_clear (&self->cell_outbox);
   g_free ((char *)self->self.name);
   g_free ((char *)self->self.link_address);
   g_free ((char *)self->self.callers_address);
@@ -307,7 +309,7 @@
     return;
   self->ready = ready;
   cm_log (CM_LOG_NOTICE, "ready-changed", "b", "ready", ready);
-  sv_peers_send_whole (self, NULL);
+  sv_peers_send_full (self, NULL);
   sv_relay_note_ready (self);
 }
 
@@ -325,14 +327,14 @@
     return;
   self->cut_off = cut_off;
   cm_log (CM_LOG_NOTICE, "follower-changed", "b", "cut-off", cut_off);
-  sv_peers_send_beat (self);
+  sv_peers_send_heartbeat (self);
 }
 
 void
 sv_peers_leave (SvPeers *self)
 {
   self->self.strength = 0;
-  sv_peers_send_whole (self, NULL);
+  sv_peers_send_full (self, NULL);
 }
 
 static void
--- a/serve/peers_internal.h
+++ b/serve/peers_internal.h
@@ -8,17 +8,17 @@
 #include "serve/peers.h"
 #include "wire/datagram.pb-c.h"
 
-/* Size limit of a datagram; ROWS_MOST rows of each kind stay below it. */
-#define DATAGRAM_BYTES 2048
+/* Size limit of a datagram; MAX_ROWS rows of each kind stay below it. */
+#define MAX_DATAGRAM_BYTES 2048
 
 /* Maximum rows of one kind in a datagram, to stay below the usual packet size. */
-#define ROWS_MOST 36
+#define MAX_ROWS 36
 
 /* Maximum rows for endpoints where requests were lost, and for those that answer again. */
-#define HEALTH_MOST 10
+#define MAX_HEALTH_ROWS 10
 
 /* Maximum rows for prompts, each listing the endpoints that prefill it. */
-#define READS_MOST 5
+#define MAX_PREFILL_ROWS 5
 
 /** Another instance. */
 typedef struct
@@ -34,13 +34,13 @@
   guint64 incarnation;
   guint64 sequence;
   gboolean ready;
-  gboolean cut_off;    /* the store doesn't answer it */
-  gboolean is_counted; /* endpoints have rows of its load in flight */
-  KnlTime heard_at;    /* -KNL_NEVER: never */
+  gboolean cut_off;     /* the store doesn't answer it */
+  gboolean is_counted;  /* endpoints have rows of its load in flight */
+  KnlTime last_seen_at; /* -KNL_NEVER: never */
   KnlTime known_since;
-  KnlTime learned_at; /* last call of sv_peers_learn for it */
-  KnlTime told_since; /* start of the window that `n_told` counts in */
-  guint n_told;       /* losses that it reported in the window */
+  KnlTime discovered_at;   /* last call of sv_peers_discover for it */
+  KnlTime losses_since;    /* start of the window that `n_reported_losses` counts in */
+  guint n_reported_losses; /* losses that it reported in the window */
 } Peer;
 
 /** The instances of another availability zone, as reported by their relay. */
@@ -48,10 +48,10 @@
 {
   char *zone;
   guint32 id;
-  guint32 relay;    /* id of its relay; 0: not known yet */
-  KnlTime heard_at; /* -KNL_NEVER: never */
-  guint instances;  /* as last reported by its relay */
-  GPtrArray *ready; /* addresses for callers, as last reported */
+  guint32 relay;        /* id of its relay; 0: not known yet */
+  KnlTime last_seen_at; /* -KNL_NEVER: never */
+  guint instances;      /* as last reported by its relay */
+  GPtrArray *ready;     /* addresses for callers, as last reported */
   gboolean is_counted;
 } Cell;
 
@@ -62,18 +62,18 @@
   KnlTime length;
   gboolean until_told;
   guint n; /* endpoints that prefill it; 0: the prefill has ended */
-  guint64 keys[SV_HELPERS + 1];
-} PlacedReadRow;
+  guint64 keys[SV_MAX_HELPERS + 1];
+} PrefillRow;
 
 /** Updates to be announced, except loads, which the endpoints keep. */
 typedef struct
 {
-  GArray *reads;     /* PlacedReadRow */
+  GArray *reads;     /* PrefillRow */
   GArray *suspects;  /* guint64 */
   GArray *lost;      /* guint64, keys of endpoints */
   GArray *lost_by;   /* guint32, id of the reporter for each of `lost` */
   GArray *answering; /* guint64, keys of endpoints */
-} News;
+} Outbox;
 
 /** Called when a peer requests a confirmation or answers a request of ours. */
 typedef void (*SvPeerConfirmFunc) (const Peer *peer,
@@ -101,24 +101,24 @@
   SvPosition endpoints_revision;
   evutil_socket_t socket;
   struct event *readable;
-  GHashTable *peers;     /* link address -> Peer */
-  GHashTable *by_id;     /* id -> Peer */
-  GHashTable *cells;     /* id -> Cell, other ones */
-  News news;             /* updates of this instance, for our cell */
-  News cell_news;        /* updates of our whole cell, for other cells; filled by the relay only */
-  guint n_in_cell;       /* peers of our cell, alive or not, at the last heartbeat */
-  gboolean was_relay;    /* at the last heartbeat */
-  guint described_from;  /* index of the first endpoint in the next description */
-  KnlTime cell_told_at;  /* last time that changes were announced to other cells; 0: never */
-  KnlTimerId cell_timer; /* next announcement to other cells; 0: none is scheduled */
-  KnlTime described_at;  /* last description sent because of a change; 0: never */
+  GHashTable *peers;    /* link address -> Peer */
+  GHashTable *by_id;    /* id -> Peer */
+  GHashTable *cells;    /* id -> Cell, other ones */
+  Outbox outbox;        /* updates of this instance, for our cell */
+  Outbox cell_outbox;   /* updates of our whole cell, for other cells; filled by the relay only */
+  guint n_in_cell;      /* peers of our cell, alive or not, at the last heartbeat */
+  gboolean was_relay;   /* at the last heartbeat */
+  guint next_described; /* index of the first endpoint in the next description */
+  KnlTime cell_announced_at; /* last time that changes were announced to other cells; 0: never */
+  KnlTimerId cell_timer;     /* next announcement to other cells; 0: none is scheduled */
+  KnlTime described_at;      /* last description sent because of a change; 0: never */
   KnlTimerId describe_timer;
-  GPtrArray *passing; /* GBytes: datagrams of other cells, to be forwarded */
-  KnlTime passed_at;  /* 0: never */
-  KnlTimerId pass_timer;
+  GPtrArray *forward_queue; /* GBytes: datagrams of other cells, to be forwarded */
+  KnlTime forwarded_at;     /* 0: never */
+  KnlTimerId forward_timer;
   CmLogLimit unreadable; /* limits log lines about unreadable datagrams */
-  KnlTimerId beat_timer;
-  guint beats; /* heartbeats sent so far */
+  KnlTimerId heartbeat_timer;
+  guint n_heartbeats; /* heartbeats sent so far */
   KnlTimerId change_timer;
   SvPeerConfirmFunc on_confirmation; /* NULL: none */
   SvPeerVersionsFunc on_versions;    /* NULL: none */
@@ -130,12 +130,12 @@
 /** Storage for a datagram's rows, with the arrays of pointers that protobuf-c needs. */
 typedef struct
 {
-  Alderturn__EndpointLoad loads[ROWS_MOST];
-  Alderturn__EndpointLoad *load_rows[ROWS_MOST];
-  Alderturn__EndpointLimit limits[ROWS_MOST]; /* limit of the same index in `loads` */
+  Alderturn__EndpointLoad loads[MAX_ROWS];
+  Alderturn__EndpointLoad *load_rows[MAX_ROWS];
+  Alderturn__EndpointLimit limits[MAX_ROWS]; /* limit of the same index in `loads` */
   guint n_limits;
-  Alderturn__PlacedRead reads[READS_MOST];
-  Alderturn__PlacedRead *read_rows[READS_MOST];
+  Alderturn__PlacedRead reads[MAX_PREFILL_ROWS];
+  Alderturn__PlacedRead *read_rows[MAX_PREFILL_ROWS];
 } Rows;
 
 /* peers.c */
@@ -155,10 +155,10 @@
 /* peers_take.c */
 
 /** Handles a received datagram; `bytes` may be malformed. */
-void sv_peers_take_bytes (SvPeers *self, const guint8 *bytes, gsize length);
+void sv_peers_receive_bytes (SvPeers *self, const guint8 *bytes, gsize length);
 
 /** Applies what another cell's relay reports for its cell. */
-void sv_peers_take_cell (SvPeers *self, const Alderturn__Datagram *datagram);
+void sv_peers_handle_cell (SvPeers *self, const Alderturn__Datagram *datagram);
 
 void sv_peers_on_confirmation (SvPeers *self,
                                SvPeerConfirmFunc on_confirmation,
@@ -170,11 +170,11 @@
 /** Callbacks through which the core announces changes to peers. */
 extern const SvPeerLinkClass sv_peers_link_class;
 
-void sv_news_init (News *news);
-void sv_news_clear (News *news);
+void sv_outbox_init (Outbox *outbox);
+void sv_outbox_clear (Outbox *outbox);
 
-/** Appends the updates of a datagram of our cell; `teller` is the id of its sender. */
-void sv_news_append (News *news, const Alderturn__Datagram *datagram, guint32 teller);
+/** Appends the updates of a datagram of our cell; `reporter` is the id of its sender. */
+void sv_outbox_append (Outbox *outbox, const Alderturn__Datagram *datagram, guint32 reporter);
 
 /** Initializes a datagram to send; `rows` must live as long as the datagram. */
 void sv_peers_begin_datagram (SvPeers *self, Alderturn__Datagram *datagram, Rows *rows);
@@ -184,10 +184,10 @@
                            Alderturn__Datagram *datagram,
                            Alderturn__Sender *sender);
 
-/** Whether the datagram has `most` load rows or more; a limit counts as a row. */
-gboolean sv_rows_are_full (const Rows *rows, const Alderturn__Datagram *datagram, guint most);
+/** Whether the datagram has `max_rows` load rows or more; a limit counts as a row. */
+gboolean sv_rows_are_full (const Rows *rows, const Alderturn__Datagram *datagram, guint max_rows);
 
-/** Adds a row with the endpoint's `load`; there is space for ROWS_MOST. */
+/** Adds a row with the endpoint's `load`; there is space for MAX_ROWS. */
 void sv_peers_add_load (const SvPeers *self,
                         Alderturn__Datagram *datagram,
                         Rows *rows,
@@ -202,18 +202,18 @@
                          const SvEndpoint *endpoint,
                          guint32 sent);
 
-/** Adds as many of the updates in `news` as fit. Returns FALSE if there were none. */
-gboolean sv_peers_add_news (Alderturn__Datagram *datagram, Rows *rows, News *news);
+/** Adds as many of the updates in `outbox` as fit. Returns FALSE if there were none. */
+gboolean sv_peers_add_outbox (Alderturn__Datagram *datagram, Rows *rows, Outbox *outbox);
 
-/** Removes from `news` the updates that the datagram contains. */
-void sv_news_told (News *news, const Alderturn__Datagram *datagram);
+/** Removes from `outbox` the updates that the datagram contains. */
+void sv_outbox_remove_sent (Outbox *outbox, const Alderturn__Datagram *datagram);
 
 void sv_peers_send (SvPeers *self, const Peer *peer, const Alderturn__Datagram *datagram);
 void sv_peers_send_to_cell (SvPeers *self, const Alderturn__Datagram *datagram);
 
 /** Sends the identity of this instance and all its load in flight to `peer`; NULL: to all of our
  * cell. */
-void sv_peers_send_whole (SvPeers *self, const Peer *peer);
+void sv_peers_send_full (SvPeers *self, const Peer *peer);
 
 /** Sends a request for a confirmation, or the answer to one, in a datagram of its own. */
 void sv_peers_send_confirmation (SvPeers *self,
@@ -221,7 +221,7 @@
                                  const Alderturn__Confirmation *confirmation);
 
 /** Sends a short heartbeat to our cell, with versions but without loads. */
-void sv_peers_send_beat (SvPeers *self);
+void sv_peers_send_heartbeat (SvPeers *self);
 
 /* cells.c */
 
@@ -249,10 +249,10 @@
 
 /** To be called with each heartbeat: the relay sends its cell's description to other cells, and the
  * loads of silent cells are dropped. */
-void sv_relay_beat (SvPeers *self);
+void sv_relay_on_heartbeat (SvPeers *self);
 
 /** To be called after a change in this cell: the relay announces it to other cells. */
-void sv_relay_tell (SvPeers *self);
+void sv_relay_announce (SvPeers *self);
 
 /** To be called when the set of instances of our cell that accept callers has changed: the relay
  * sends a new description to other cells. */
@@ -265,10 +265,10 @@
                        gsize length);
 
 /** Handles datagrams of other cells that a peer of our cell forwarded. */
-void sv_relay_take_passed (SvPeers *self, const Alderturn__Datagram *datagram);
+void sv_relay_handle_forwarded (SvPeers *self, const Alderturn__Datagram *datagram);
 
 /** Sends the peer, which has just started, what is known of other cells' loads and of running
  * prefills. Does nothing unless this instance is the relay. */
-void sv_relay_send_picture (SvPeers *self, const Peer *peer);
+void sv_relay_send_snapshot (SvPeers *self, const Peer *peer);
 
 void sv_relay_stop (SvPeers *self);
--- a/serve/peers_take.c
+++ b/serve/peers_take.c
@@ -7,9 +7,9 @@
 
 /* Losses that a peer may report within the window and still be accepted: this number, or this
  * fraction of all endpoints if it is larger. */
-#define TOLD_WINDOW (2 * KNL_SEC)
-#define TOLD_LEAST  4U
-#define TOLD_PART   0.25
+#define LOSS_REPORT_WINDOW       (2 * KNL_SEC)
+#define MIN_ACCEPTED_LOSSES      4U
+#define ACCEPTED_LOSSES_FRACTION 0.25
 
 static void
 replace_text (char **field, const char *text)
@@ -23,7 +23,7 @@
 /* Updates the sender's identity. A new peer of our cell gets a full datagram at once, so that it
  * needn't wait for the next periodic one. */
 static Peer *
-take_member (SvPeers *self, const Alderturn__Datagram *datagram)
+update_member (SvPeers *self, const Alderturn__Datagram *datagram)
 {
   const Alderturn__Sender *member = datagram->from;
   Peer *peer;
@@ -32,7 +32,7 @@
   if (datagram->sender == self->id || strcmp (member->link_address, self->self.link_address) == 0)
     return NULL;
   peer = g_hash_table_lookup (self->peers, member->link_address);
-  is_new = peer == NULL || peer->heard_at < 0 || peer->incarnation != datagram->incarnation;
+  is_new = peer == NULL || peer->last_seen_at < 0 || peer->incarnation != datagram->incarnation;
   if (peer == NULL)
     peer = sv_peers_add (self, member->link_address);
   if (peer == NULL)
@@ -49,77 +49,78 @@
           "s", "zone", peer->zone);
   if (sv_peer_is_in_cell (self, peer))
     {
-      sv_peers_send_whole (self, peer);
-      sv_relay_send_picture (self, peer);
+      sv_peers_send_full (self, peer);
+      sv_relay_send_snapshot (self, peer);
     }
   return peer;
 }
 
 /* Datagrams carry ages instead of times, so that only this instance's own clock is relied on. */
 static void
-take_silence (const SvPeers *self, SvEndpoint *endpoint, const Alderturn__EndpointLoad *row)
+update_last_seen (const SvPeers *self, SvEndpoint *endpoint, const Alderturn__EndpointLoad *row)
 {
-  KnlTime heard_at = knl_kernel_now (self->kernel) - (KnlTime)(row->silent_ms - 1) * KNL_MSEC;
+  KnlTime last_seen_at = knl_kernel_now (self->kernel) - (KnlTime)(row->silent_ms - 1) * KNL_MSEC;
 
   if (row->silent_ms > 0)
-    endpoint->heard_at = MAX (endpoint->heard_at, heard_at);
+    endpoint->last_seen_at = MAX (endpoint->last_seen_at, last_seen_at);
 }
 
 /* A peer that loses requests at many endpoints at once is probably cut off or faulty itself. If its
  * reports were accepted, two such peers would make all instances avoid healthy endpoints. */
 static gboolean
-is_believed (SvPeers *self, Peer *peer, gsize n_lost)
+is_accepted (SvPeers *self, Peer *peer, gsize n_lost)
 {
   KnlTime now = knl_kernel_now (self->kernel);
-  guint most = MAX (TOLD_LEAST, (guint)(TOLD_PART * sv_fleet_all (self->fleet)->len));
+  guint max_losses = MAX (MIN_ACCEPTED_LOSSES,
+                          (guint)(ACCEPTED_LOSSES_FRACTION * sv_fleet_all (self->fleet)->len));
 
-  if (now - peer->told_since > TOLD_WINDOW)
+  if (now - peer->losses_since > LOSS_REPORT_WINDOW)
     {
-      peer->told_since = now;
-      peer->n_told = 0;
+      peer->losses_since = now;
+      peer->n_reported_losses = 0;
     }
-  peer->n_told += (guint)n_lost;
-  return peer->n_told <= most;
+  peer->n_reported_losses += (guint)n_lost;
+  return peer->n_reported_losses <= max_losses;
 }
 
 static void
-take_loss (SvPeers *self, guint64 key, guint32 teller)
+handle_loss (SvPeers *self, guint64 key, guint32 reporter)
 {
   SvEndpoint *endpoint = sv_fleet_by_key (self->fleet, key);
 
   if (endpoint != NULL)
-    sv_endpoint_note_told_loss (endpoint, teller, knl_kernel_now (self->kernel));
+    sv_endpoint_note_reported_loss (endpoint, reporter, knl_kernel_now (self->kernel));
 }
 
 static void
-take_health (SvPeers *self, Peer *peer, const Alderturn__Datagram *datagram)
+handle_health (SvPeers *self, Peer *peer, const Alderturn__Datagram *datagram)
 {
-  gboolean believed = is_believed (self, peer, datagram->n_lost);
-  gboolean is_named = datagram->n_lost_by == datagram->n_lost;
+  gboolean losses_accepted = is_accepted (self, peer, datagram->n_lost);
+  gboolean has_reporters = datagram->n_lost_by == datagram->n_lost;
 
-  for (guint i = 0; i < datagram->n_lost && believed; i++)
-    take_loss (self, datagram->lost[i], is_named ? datagram->lost_by[i] : peer->id);
+  for (guint i = 0; i < datagram->n_lost && losses_accepted; i++)
+    handle_loss (self, datagram->lost[i], has_reporters ? datagram->lost_by[i] : peer->id);
   for (guint i = 0; i < datagram->n_answering; i++)
     {
       SvEndpoint *endpoint = sv_fleet_by_key (self->fleet, datagram->answering[i]);
 
       if (endpoint != NULL)
-        sv_endpoint_note_told_answer (endpoint);
+        sv_endpoint_note_reported_answer (endpoint);
     }
 }
 
 /* Returns the endpoint of the row and fills in its load; NULL if the endpoint is unknown here. */
 static SvEndpoint *
-take_row (SvPeers *self, const Alderturn__EndpointLoad *row, SvLoad *load)
+parse_load_row (SvPeers *self, const Alderturn__EndpointLoad *row, SvLoad *load)
 {
   SvEndpoint *endpoint = sv_fleet_by_key (self->fleet, row->endpoint);
 
   if (endpoint == NULL)
     return NULL;
-  take_silence (self, endpoint, row);
+  update_last_seen (self, endpoint, row);
   *load = (SvLoad){
     .calls = row->calls,
-    .writers = { row->tight, row->medium, row->loose },
+    .decoding_streams = { row->tight, row->medium, row->loose },
     .tokens = row->tokens,
   };
   return endpoint;
@@ -128,43 +129,44 @@
 /* Handles a rate limit that the endpoint advertised to an instance, and the number of requests sent
  * to it since. `told` identifies the reporter; its `sent` is filled in here. */
 static void
-take_limit (SvPeers *self,
-            SvEndpoint *endpoint,
-            const Alderturn__EndpointLimit *limit,
-            SvToldSends told)
+handle_limit (SvPeers *self,
+              SvEndpoint *endpoint,
+              const Alderturn__EndpointLimit *limit,
+              SvReportedSends told)
 {
-  KnlTime named_at = knl_kernel_now (self->kernel) - (KnlTime)limit->age_ms * KNL_MSEC;
+  KnlTime advertised_at = knl_kernel_now (self->kernel) - (KnlTime)limit->age_ms * KNL_MSEC;
   double before = endpoint->limit.rate;
 
   if (!isfinite (limit->rate))
     return;
-  if (sv_endpoint_note_limit (endpoint, limit->rate < 0 ? POL_NO_LIMIT : limit->rate, named_at))
+  if (sv_endpoint_note_limit (endpoint, limit->rate < 0 ? POL_NO_LIMIT : limit->rate,
+                              advertised_at))
     cm_log (CM_LOG_NOTICE, "endpoint-limit", "s", "endpoint", endpoint->id, "i", "reported-by",
-            (gint64)told.teller, "f", "requests-a-second", endpoint->limit.rate, "f", "before",
+            (gint64)told.reporter, "f", "requests-a-second", endpoint->limit.rate, "f", "before",
             before, "i", "age-us", (gint64)limit->age_ms * KNL_MSEC);
   told.sent = limit->sent;
-  if (pol_limit_is_named (&endpoint->limit))
-    sv_endpoint_note_told_sends (endpoint, &told);
+  if (pol_limit_is_advertised (&endpoint->limit))
+    sv_endpoint_note_reported_sends (endpoint, &told);
 }
 
 /* Applies a snapshot row with another cell's load. The relay sends rows of live cells, so a cell
  * from which nothing was received counts as seen now. */
 static void
-take_picture_row (SvPeers *self, SvEndpoint *endpoint, guint32 id, const SvLoad *load)
+handle_snapshot_row (SvPeers *self, SvEndpoint *endpoint, guint32 id, const SvLoad *load)
 {
   Cell *cell = g_hash_table_lookup (self->cells, GUINT_TO_POINTER (id));
 
   if (cell == NULL)
     return;
-  if (cell->heard_at < 0)
-    cell->heard_at = knl_kernel_now (self->kernel);
+  if (cell->last_seen_at < 0)
+    cell->last_seen_at = knl_kernel_now (self->kernel);
   cell->is_counted = TRUE;
   sv_endpoint_set_cell (endpoint, id, load);
 }
 
 /* Applies loads that a peer of our cell sent: its own, and in a snapshot those of other cells. */
 static void
-take_loads (SvPeers *self, Peer *peer, const Alderturn__Datagram *datagram)
+handle_loads (SvPeers *self, Peer *peer, const Alderturn__Datagram *datagram)
 {
   const GPtrArray *endpoints = sv_fleet_all (self->fleet);
 
@@ -174,57 +176,57 @@
     {
       const Alderturn__EndpointLoad *row = datagram->loads[i];
       SvLoad load;
-      SvEndpoint *endpoint = take_row (self, row, &load);
+      SvEndpoint *endpoint = parse_load_row (self, row, &load);
 
       if (endpoint == NULL)
         continue;
       if (row->cell != 0)
         {
-          take_picture_row (self, endpoint, row->cell, &load);
+          handle_snapshot_row (self, endpoint, row->cell, &load);
           continue;
         }
       sv_endpoint_set_peer (endpoint, peer->id, &load);
       if (row->limit != NULL)
-        take_limit (self, endpoint, row->limit,
-                    (SvToldSends){ .source = peer->id, .teller = peer->id });
+        handle_limit (self, endpoint, row->limit,
+                      (SvReportedSends){ .source = peer->id, .reporter = peer->id });
       peer->is_counted = TRUE;
     }
 }
 
 static void
-take_cell_loads (SvPeers *self, Cell *cell, const Alderturn__Datagram *datagram)
+handle_cell_loads (SvPeers *self, Cell *cell, const Alderturn__Datagram *datagram)
 {
-  SvToldSends told = { .source = cell->id, .is_cell = TRUE, .teller = datagram->sender };
+  SvReportedSends told = { .source = cell->id, .is_cell = TRUE, .reporter = datagram->sender };
 
   for (guint i = 0; i < datagram->n_loads; i++)
     {
       const Alderturn__EndpointLoad *row = datagram->loads[i];
       SvLoad load;
-      SvEndpoint *endpoint = take_row (self, row, &load);
+      SvEndpoint *endpoint = parse_load_row (self, row, &load);
 
       if (endpoint == NULL)
         continue;
       sv_endpoint_set_cell (endpoint, cell->id, &load);
       cell->is_counted = TRUE;
       if (row->limit != NULL)
-        take_limit (self, endpoint, row->limit, told);
+        handle_limit (self, endpoint, row->limit, told);
     }
 }
 
 static void
-take_reads (SvPeers *self, const Alderturn__Datagram *datagram)
+handle_prefills (SvPeers *self, const Alderturn__Datagram *datagram)
 {
   for (guint i = 0; i < datagram->n_reads; i++)
     {
       const Alderturn__PlacedRead *row = datagram->reads[i];
-      SvRead read = { .prompt = row->prompt,
-                      .length = row->length_us,
-                      .until_told = row->until_told };
+      SvPrefill read = { .prompt = row->prompt,
+                         .length = row->length_us,
+                         .until_told = row->until_told };
 
       if (row->n_endpoints > 0)
-        sv_fleet_add_read (self->fleet, &read, row->endpoints, (guint)row->n_endpoints);
+        sv_fleet_add_prefill (self->fleet, &read, row->endpoints, (guint)row->n_endpoints);
       else
-        sv_fleet_end_read (self->fleet, row->prompt);
+        sv_fleet_end_prefill (self->fleet, row->prompt);
     }
 }
 
@@ -232,7 +234,7 @@
  * restarted since. Incarnations are wall-clock times, and the clock may have jumped back before the
  * last start, so a lower incarnation is accepted from a peer that was silent for a while. */
 static gboolean
-is_overtaken (const SvPeers *self, const Peer *peer, const Alderturn__Datagram *datagram)
+is_superseded (const SvPeers *self, const Peer *peer, const Alderturn__Datagram *datagram)
 {
   if (datagram->incarnation != peer->incarnation)
     return datagram->incarnation < peer->incarnation && sv_peer_is_alive (self, peer);
@@ -242,13 +244,13 @@
 /* Updates and returns the peer that sent the datagram; NULL if the peer is unknown or the datagram
  * is older than what is known. */
 static Peer *
-take_sender (SvPeers *self, const Alderturn__Datagram *datagram)
+handle_sender (SvPeers *self, const Alderturn__Datagram *datagram)
 {
   Peer *peer = datagram->from != NULL
-                   ? take_member (self, datagram)
+                   ? update_member (self, datagram)
                    : g_hash_table_lookup (self->by_id, GUINT_TO_POINTER (datagram->sender));
 
-  if (peer == NULL || is_overtaken (self, peer, datagram))
+  if (peer == NULL || is_superseded (self, peer, datagram))
     return NULL;
   peer->incarnation = datagram->incarnation;
   peer->sequence = datagram->sequence;
@@ -256,7 +258,7 @@
     sv_relay_note_ready (self);
   peer->ready = datagram->ready;
   peer->cut_off = datagram->cut_off;
-  peer->heard_at = knl_kernel_now (self->kernel);
+  peer->last_seen_at = knl_kernel_now (self->kernel);
   if (datagram->config_version > 0 && self->on_versions != NULL)
     self->on_versions (peer, (SvPosition){ datagram->era, datagram->config_version },
                        (SvPosition){ datagram->era, datagram->endpoints },
@@ -265,16 +267,16 @@
 }
 
 static void
-take_suspects (SvPeers *self, const Alderturn__Datagram *datagram)
+handle_suspects (SvPeers *self, const Alderturn__Datagram *datagram)
 {
   for (guint i = 0; i < datagram->n_suspects && self->on_suspect != NULL; i++)
     self->on_suspect (datagram->suspects[i], self->on_suspect_data);
 }
 
 static void
-take (SvPeers *self, const Alderturn__Datagram *datagram)
+handle_datagram (SvPeers *self, const Alderturn__Datagram *datagram)
 {
-  Peer *peer = take_sender (self, datagram);
+  Peer *peer = handle_sender (self, datagram);
 
   if (peer == NULL)
     return;
@@ -282,13 +284,13 @@
     self->on_confirmation (peer, datagram->confirmation, self->on_confirmation_data);
   if (!sv_peer_is_in_cell (self, peer))
     return;
-  take_loads (self, peer, datagram);
-  take_reads (self, datagram);
-  take_health (self, peer, datagram);
-  take_suspects (self, datagram);
+  handle_loads (self, peer, datagram);
+  handle_prefills (self, datagram);
+  handle_health (self, peer, datagram);
+  handle_suspects (self, datagram);
   if (sv_peers_is_relay (self))
-    sv_news_append (&self->cell_news, datagram, peer->id);
-  sv_relay_tell (self);
+    sv_outbox_append (&self->cell_outbox, datagram, peer->id);
+  sv_relay_announce (self);
 }
 
 static void
@@ -302,7 +304,7 @@
 /* Whether to accept the peer as relay of the cell. If two instances are cut off from each other,
  * both act as relay; of those the stronger is accepted. */
 static gboolean
-speaks_for (SvPeers *self, const Peer *peer, Cell *cell)
+accept_relay (SvPeers *self, const Peer *peer, Cell *cell)
 {
   const Peer *current = g_hash_table_lookup (self->by_id, GUINT_TO_POINTER (cell->relay));
 
@@ -317,27 +319,30 @@
 }
 
 void
-sv_peers_take_cell (SvPeers *self, const Alderturn__Datagram *datagram)
+sv_peers_handle_cell (SvPeers *self, const Alderturn__Datagram *datagram)
 {
-  Peer *peer = take_sender (self, datagram);
+  Peer *peer = handle_sender (self, datagram);
   Cell *cell = peer != NULL ? sv_cells_of_zone (self, peer->zone) : NULL;
 
-  if (cell == NULL || cell->id != datagram->cell->id || !speaks_for (self, peer, cell))
+  if (cell == NULL || cell->id != datagram->cell->id || !accept_relay (self, peer, cell))
     return;
-  cell->heard_at = knl_kernel_now (self->kernel);
+  cell->last_seen_at = knl_kernel_now (self->kernel);
   if (datagram->cell->described)
     {
       cell->instances = datagram->cell->instances;
       replace_ready (cell, datagram->cell);
     }
-  take_cell_loads (self, cell, datagram);
-  take_reads (self, datagram);
-  take_health (self, peer, datagram);
-  take_suspects (self, datagram);
+  handle_cell_loads (self, cell, datagram);
+  handle_prefills (self, datagram);
+  handle_health (self, peer, datagram);
+  handle_suspects (self, datagram);
 }
 
 static void
-take_any (SvPeers *self, const Alderturn__Datagram *datagram, const guint8 *bytes, gsize length)
+dispatch_datagram (SvPeers *self,
+                   const Alderturn__Datagram *datagram,
+                   const guint8 *bytes,
+                   gsize length)
 {
   if (datagram->cell != NULL)
     {
@@ -345,8 +350,8 @@
         sv_relay_receive (self, datagram, bytes, length);
       return;
     }
-  take (self, datagram);
-  sv_relay_take_passed (self, datagram);
+  handle_datagram (self, datagram);
+  sv_relay_handle_forwarded (self, datagram);
 }
 
 /* The port is open, so any bytes may arrive; the log is rate-limited. */
@@ -359,7 +364,7 @@
 }
 
 void
-sv_peers_take_bytes (SvPeers *self, const guint8 *bytes, gsize length)
+sv_peers_receive_bytes (SvPeers *self, const guint8 *bytes, gsize length)
 {
   Alderturn__Datagram *datagram = alderturn__datagram__unpack (NULL, length, bytes);
 
@@ -368,7 +373,7 @@
       log_unreadable (self, length);
       return;
     }
-  take_any (self, datagram, bytes, length);
+  dispatch_datagram (self, datagram, bytes, length);
   alderturn__datagram__free_unpacked (datagram, NULL);
 }
 
--- a/serve/peers_tell.c
+++ b/serve/peers_tell.c
@@ -8,14 +8,14 @@
 /* Delays before a change is announced. A change of load waits so that others can share its
  * datagram. A prefill is announced sooner: if another instance placed a second prefill on the same
  * endpoint before it knows of this one, the endpoint's streams would stall. */
-#define LOAD_DELAY (5 * KNL_MSEC)
-#define READ_DELAY (2 * KNL_MSEC)
+#define LOAD_DELAY    (5 * KNL_MSEC)
+#define PREFILL_DELAY (2 * KNL_MSEC)
 
 void
-sv_news_init (News *self)
+sv_outbox_init (Outbox *self)
 {
-  *self = (News){
-    .reads = g_array_new (FALSE, FALSE, sizeof (PlacedReadRow)),
+  *self = (Outbox){
+    .reads = g_array_new (FALSE, FALSE, sizeof (PrefillRow)),
     .suspects = g_array_new (FALSE, FALSE, sizeof (guint64)),
     .lost = g_array_new (FALSE, FALSE, sizeof (guint64)),
     .lost_by = g_array_new (FALSE, FALSE, sizeof (guint32)),
@@ -24,7 +24,7 @@
 }
 
 void
-sv_news_clear (News *self)
+sv_outbox_clear (Outbox *self)
 {
   g_array_unref (self->reads);
   g_array_unref (self->suspects);
@@ -36,7 +36,7 @@
 void
 sv_peers_send (SvPeers *self, const Peer *peer, const Alderturn__Datagram *datagram)
 {
-  guint8 bytes[DATAGRAM_BYTES];
+  guint8 bytes[MAX_DATAGRAM_BYTES];
   gsize length = alderturn__datagram__get_packed_size (datagram);
 
   if (length > sizeof bytes)
@@ -61,12 +61,12 @@
   alderturn__endpoint_load__init (row);
   row->endpoint = endpoint->key;
   row->calls = load->calls;
-  row->tight = load->writers[SV_PAUSE_TIGHT];
-  row->medium = load->writers[SV_PAUSE_MEDIUM];
-  row->loose = load->writers[SV_PAUSE_LOOSE];
+  row->tight = load->decoding_streams[SV_GAP_TIGHT];
+  row->medium = load->decoding_streams[SV_GAP_MEDIUM];
+  row->loose = load->decoding_streams[SV_GAP_LOOSE];
   row->tokens = load->tokens;
-  if (endpoint->heard_at > 0)
-    row->silent_ms = (guint32)MIN ((now - endpoint->heard_at) / KNL_MSEC + 1, G_MAXUINT32);
+  if (endpoint->last_seen_at > 0)
+    row->silent_ms = (guint32)MIN ((now - endpoint->last_seen_at) / KNL_MSEC + 1, G_MAXUINT32);
 }
 
 void
@@ -84,9 +84,9 @@
 }
 
 gboolean
-sv_rows_are_full (const Rows *rows, const Alderturn__Datagram *datagram, guint most)
+sv_rows_are_full (const Rows *rows, const Alderturn__Datagram *datagram, guint max_rows)
 {
-  return datagram->n_loads + rows->n_limits >= most;
+  return datagram->n_loads + rows->n_limits >= max_rows;
 }
 
 void
@@ -125,12 +125,12 @@
   gsize last = datagram->n_loads - 1;
   Alderturn__EndpointLimit *limit = &rows->limits[last];
 
-  if (!sv_endpoint_tells_limit (endpoint, now))
+  if (!sv_endpoint_announces_limit (endpoint, now))
     return;
   alderturn__endpoint_limit__init (limit);
   limit->rate = endpoint->limit.rate;
   limit->age_ms =
-      (guint32)MIN ((now - endpoint->limit.named_at) / KNL_MSEC + 1, (KnlTime)G_MAXUINT32);
+      (guint32)MIN ((now - endpoint->limit.advertised_at) / KNL_MSEC + 1, (KnlTime)G_MAXUINT32);
   limit->sent = sent;
   rows->loads[last].limit = limit;
   rows->n_limits++;
@@ -159,7 +159,7 @@
 }
 
 static void
-fill_whole (SvPeers *self, Alderturn__Datagram *datagram, Alderturn__Sender *member, Rows *rows)
+fill_full (SvPeers *self, Alderturn__Datagram *datagram, Alderturn__Sender *member, Rows *rows)
 {
   const GPtrArray *endpoints = sv_fleet_all (self->fleet);
 
@@ -171,9 +171,9 @@
       SvEndpoint *endpoint = g_ptr_array_index (endpoints, i);
 
       if (endpoint->own.calls == 0
-          && !sv_endpoint_tells_limit (endpoint, knl_kernel_now (self->kernel)))
+          && !sv_endpoint_announces_limit (endpoint, knl_kernel_now (self->kernel)))
         continue;
-      if (sv_rows_are_full (rows, datagram, ROWS_MOST))
+      if (sv_rows_are_full (rows, datagram, MAX_ROWS))
         {
           datagram->whole = FALSE;
           break;
@@ -183,13 +183,13 @@
 }
 
 void
-sv_peers_send_whole (SvPeers *self, const Peer *peer)
+sv_peers_send_full (SvPeers *self, const Peer *peer)
 {
   Alderturn__Datagram datagram;
   Alderturn__Sender member;
   Rows rows;
 
-  fill_whole (self, &datagram, &member, &rows);
+  fill_full (self, &datagram, &member, &rows);
   if (peer != NULL)
     sv_peers_send (self, peer, &datagram);
   else
@@ -197,7 +197,7 @@
 }
 
 void
-sv_peers_send_beat (SvPeers *self)
+sv_peers_send_heartbeat (SvPeers *self)
 {
   Alderturn__Datagram datagram;
   Rows rows;
@@ -227,13 +227,13 @@
 }
 
 static void
-fill_reads (Alderturn__Datagram *datagram, Rows *rows, const News *news)
+fill_prefills (Alderturn__Datagram *datagram, Rows *rows, const Outbox *outbox)
 {
-  guint n = MIN (news->reads->len, READS_MOST);
+  guint n = MIN (outbox->reads->len, MAX_PREFILL_ROWS);
 
   for (guint i = 0; i < n; i++)
     {
-      PlacedReadRow *read = &g_array_index (news->reads, PlacedReadRow, i);
+      PrefillRow *read = &g_array_index (outbox->reads, PrefillRow, i);
       Alderturn__PlacedRead *row = &rows->reads[i];
 
       alderturn__placed_read__init (row);
@@ -248,22 +248,22 @@
 }
 
 gboolean
-sv_peers_add_news (Alderturn__Datagram *datagram, Rows *rows, News *news)
+sv_peers_add_outbox (Alderturn__Datagram *datagram, Rows *rows, Outbox *outbox)
 {
-  fill_reads (datagram, rows, news);
-  datagram->suspects = (guint64 *)(gpointer)news->suspects->data;
-  datagram->n_suspects = MIN (news->suspects->len, ROWS_MOST);
-  datagram->lost = (guint64 *)(gpointer)news->lost->data;
-  datagram->n_lost = MIN (news->lost->len, HEALTH_MOST);
-  datagram->lost_by = (guint32 *)(gpointer)news->lost_by->data;
-  datagram->n_lost_by = MIN (news->lost_by->len, HEALTH_MOST);
-  datagram->answering = (guint64 *)(gpointer)news->answering->data;
-  datagram->n_answering = MIN (news->answering->len, HEALTH_MOST);
+  fill_prefills (datagram, rows, outbox);
+  datagram->suspects = (guint64 *)(gpointer)outbox->suspects->data;
+  datagram->n_suspects = MIN (outbox->suspects->len, MAX_ROWS);
+  datagram->lost = (guint64 *)(gpointer)outbox->lost->data;
+  datagram->n_lost = MIN (outbox->lost->len, MAX_HEALTH_ROWS);
+  datagram->lost_by = (guint32 *)(gpointer)outbox->lost_by->data;
+  datagram->n_lost_by = MIN (outbox->lost_by->len, MAX_HEALTH_ROWS);
+  datagram->answering = (guint64 *)(gpointer)outbox->answering->data;
+  datagram->n_answering = MIN (outbox->answering->len, MAX_HEALTH_ROWS);
   return datagram->n_reads + datagram->n_suspects + datagram->n_lost + datagram->n_answering > 0;
 }
 
 void
-sv_news_told (News *self, const Alderturn__Datagram *datagram)
+sv_outbox_remove_sent (Outbox *self, const Alderturn__Datagram *datagram)
 {
   g_array_remove_range (self->reads, 0, (guint)datagram->n_reads);
   g_array_remove_range (self->suspects, 0, (guint)datagram->n_suspects);
@@ -281,19 +281,19 @@
   Rows rows;
 
   sv_peers_begin_datagram (self, &datagram, &rows);
-  for (guint i = 0; i < endpoints->len && !sv_rows_are_full (&rows, &datagram, ROWS_MOST / 2); i++)
+  for (guint i = 0; i < endpoints->len && !sv_rows_are_full (&rows, &datagram, MAX_ROWS / 2); i++)
     {
       SvEndpoint *endpoint = g_ptr_array_index (endpoints, i);
 
       if (endpoint->own_changed)
         add_own_load (self, &datagram, &rows, endpoint);
     }
-  if (!sv_peers_add_news (&datagram, &rows, &self->news) && datagram.n_loads == 0)
+  if (!sv_peers_add_outbox (&datagram, &rows, &self->outbox) && datagram.n_loads == 0)
     return FALSE;
   sv_peers_send_to_cell (self, &datagram);
   if (sv_peers_is_relay (self))
-    sv_news_append (&self->cell_news, &datagram, self->id);
-  sv_news_told (&self->news, &datagram);
+    sv_outbox_append (&self->cell_outbox, &datagram, self->id);
+  sv_outbox_remove_sent (&self->outbox, &datagram);
   return TRUE;
 }
 
@@ -305,19 +305,19 @@
   self->change_timer = 0;
   while (send_changes (self))
     ;
-  sv_relay_tell (self);
+  sv_relay_announce (self);
 }
 
 void
-sv_news_append (News *self, const Alderturn__Datagram *datagram, guint32 teller)
+sv_outbox_append (Outbox *self, const Alderturn__Datagram *datagram, guint32 reporter)
 {
   for (guint i = 0; i < datagram->n_reads; i++)
     {
       const Alderturn__PlacedRead *read = datagram->reads[i];
-      PlacedReadRow row = { .prompt = read->prompt,
-                            .length = read->length_us,
-                            .until_told = read->until_told,
-                            .n = (guint)MIN (read->n_endpoints, G_N_ELEMENTS (row.keys)) };
+      PrefillRow row = { .prompt = read->prompt,
+                         .length = read->length_us,
+                         .until_told = read->until_told,
+                         .n = (guint)MIN (read->n_endpoints, G_N_ELEMENTS (row.keys)) };
 
       if (row.n > 0)
         memcpy (row.keys, read->endpoints, row.n * sizeof *row.keys);
@@ -327,47 +327,47 @@
   g_array_append_vals (self->answering, datagram->answering, (guint)datagram->n_answering);
   g_array_append_vals (self->lost, datagram->lost, (guint)datagram->n_lost);
   for (guint i = 0; i < datagram->n_lost; i++)
-    g_array_append_val (self->lost_by, teller);
+    g_array_append_val (self->lost_by, reporter);
 }
 
 static void
-tell_within (SvPeers *self, KnlTime delay)
+announce_within (SvPeers *self, KnlTime delay)
 {
   if (self->change_timer == 0)
     self->change_timer = knl_timer_start (self->kernel, delay, on_change_due, self);
 }
 
 static void
-tell_read (SvPeers *self, const PlacedReadRow *row)
+announce_prefill (SvPeers *self, const PrefillRow *row)
 {
-  g_array_append_val (self->news.reads, *row);
+  g_array_append_val (self->outbox.reads, *row);
   knl_timer_stop (self->kernel, &self->change_timer);
-  tell_within (self, READ_DELAY);
+  announce_within (self, PREFILL_DELAY);
 }
 
 static void
-link_read_placed (SvPeerLink *link, const SvRead *read, const guint64 *keys, guint n)
+link_read_placed (SvPeerLink *link, const SvPrefill *read, const guint64 *keys, guint n)
 {
-  PlacedReadRow row = {
+  PrefillRow row = {
     .prompt = read->prompt, .length = read->length, .until_told = read->until_told, .n = n
   };
 
   memcpy (row.keys, keys, n * sizeof *keys);
-  tell_read ((SvPeers *)link, &row);
+  announce_prefill ((SvPeers *)link, &row);
 }
 
 static void
 link_read_ended (SvPeerLink *link, guint64 prompt)
 {
-  PlacedReadRow row = { .prompt = prompt };
+  PrefillRow row = { .prompt = prompt };
 
-  tell_read ((SvPeers *)link, &row);
+  announce_prefill ((SvPeers *)link, &row);
 }
 
 static void
 link_load_changed (SvPeerLink *link)
 {
-  tell_within ((SvPeers *)link, LOAD_DELAY);
+  announce_within ((SvPeers *)link, LOAD_DELAY);
 }
 
 static void
@@ -375,8 +375,8 @@
 {
   SvPeers *self = (SvPeers *)link;
 
-  g_array_append_val (self->news.suspects, fingerprint);
-  tell_within (self, READ_DELAY);
+  g_array_append_val (self->outbox.suspects, fingerprint);
+  announce_within (self, PREFILL_DELAY);
 }
 
 static void
@@ -384,9 +384,9 @@
 {
   SvPeers *self = (SvPeers *)link;
 
-  g_array_append_val (lost ? self->news.lost : self->news.answering, endpoint->key);
+  g_array_append_val (lost ? self->outbox.lost : self->outbox.answering, endpoint->key);
   knl_timer_stop (self->kernel, &self->change_timer);
-  tell_within (self, READ_DELAY);
+  announce_within (self, PREFILL_DELAY);
 }
 
 static guint
@@ -398,8 +398,8 @@
 }
 
 const SvPeerLinkClass sv_peers_link_class = {
-  .read_placed = link_read_placed,
-  .read_ended = link_read_ended,
+  .prefill_placed = link_read_placed,
+  .prefill_ended = link_read_ended,
   .load_changed = link_load_changed,
   .suspect = link_suspect,
   .health_changed = link_health_changed,
--- a/serve/place_long.c
+++ b/serve/place_long.c
@@ -9,36 +9,36 @@
 /* Costs in ms when choosing the endpoint to run a long prompt: of a memory full of contexts (less
  * in proportion), and of having no free slot or too little free memory. */
 #define RUN_MEMORY_COST 300.0
-#define NO_ROOM_COST    20000.0
+#define OVERLOAD_COST   20000.0
 
 /* Endpoints whose costs for running a long prompt differ by less than this, in ms, count as about
  * equal, and each request prefers a different one: two prompts at the same endpoint often need more
  * memory than it has, and the second would wait there until the first has been answered. */
-#define RUN_SPREAD 300.0
+#define RUN_NOISE_COST 300.0
 
 /* A prompt that exceeds the free memory of the endpoint that runs it is held by several endpoints:
- * by the first with HOLD_FIRST of its free memory, by each helper with at most HOLD_PART of its
- * free memory and at least HOLD_LEAST tokens. */
-#define HOLD_FIRST 0.9
-#define HOLD_PART  0.6
-#define HOLD_LEAST 4000.0
+ * by the first with FIRST_HOLD_FRACTION of its free memory, by each helper with at most
+ * HELPER_HOLD_FRACTION of its free memory and at least MIN_HOLD_TOKENS tokens. */
+#define FIRST_HOLD_FRACTION  0.9
+#define HELPER_HOLD_FRACTION 0.6
+#define MIN_HOLD_TOKENS      4000.0
 
 /* Prefill time in ms that costs as much as one late stream for each stream of the endpoint: the
  * stream ends that much later and keeps its memory until then. */
 #define SLOWDOWN_MS 600.0
 
 /* A gap begins to count as late at this fraction of a stream's gap objective, and fully at 1. */
-#define HARM_FROM 0.85
+#define GAP_LATE_START 0.85
 
 /* A first event begins to count as late at this fraction of its objective, and fully at 1. */
-#define LATE_FROM 0.5
+#define FIRST_EVENT_LATE_START 0.5
 
 /* Cost of waiting as long as the objective, in late streams. Also decides between widths that are
  * otherwise equal. */
 #define WAIT_COST 10.0
 
 static int
-compare_for_reading (gconstpointer a, gconstpointer b)
+compare_for_prefill (gconstpointer a, gconstpointer b)
 {
   const SvCandidate *x = a;
   const SvCandidate *y = b;
@@ -58,32 +58,32 @@
   return CLAMP ((value - from) / (to - from), 0, 1);
 }
 
-/* Number of streams that a pass of `stretch` ms makes late; streams that are only close to their
+/* Number of streams that a pass of `pass_ms` ms makes late; streams that are only close to their
  * gap objective count in part. On a packed endpoint, streams that are expected to arrive until then
  * count too. */
 static double
-harm_of (const SvChoice *choice, const SvCandidate *candidate, double stretch)
+late_streams (const SvChoice *choice, const SvCandidate *candidate, double pass_ms)
 {
-  double harm = 0;
+  double late = 0;
 
-  for (guint i = 0; i < SV_N_PAUSES; i++)
+  for (guint i = 0; i < SV_N_GAP_CLASSES; i++)
     {
       double gap = (double)choice->demand->config->shortest_gaps[i] / KNL_MSEC;
-      double writers = candidate->load.writers[i];
+      double decoding_streams = candidate->load.decoding_streams[i];
 
-      if (i == SV_PAUSE_TIGHT && candidate->role == SV_ROLE_PACKED)
-        writers = MAX (writers, choice->packed_mean);
-      harm += writers * ramp (stretch, HARM_FROM * gap, gap);
+      if (i == SV_GAP_TIGHT && candidate->role == SV_ROLE_PACKED)
+        decoding_streams = MAX (decoding_streams, choice->packed_mean);
+      late += decoding_streams * ramp (pass_ms, GAP_LATE_START * gap, gap);
     }
-  return harm;
+  return late;
 }
 
 /* Weight of a request relative to one of usual size. */
 static double
-worth_of (const SvChoice *choice)
+weight_of (const SvChoice *choice)
 {
   const SvDemand *demand = choice->demand;
-  double usual = choice->spec->usual_prompt + 10 * choice->spec->usual_answer;
+  double usual = choice->spec->mean_prompt_tokens + 10 * choice->spec->mean_answer_tokens;
   double size = (double)demand->prompt_tokens + 10 * (double)demand->answer_tokens;
 
   return usual <= 0 ? 1 : size / usual;
@@ -94,22 +94,22 @@
 static double
 cost_of_width (const SvChoice *choice, guint n, double *expected)
 {
-  double part = choice->read_ms / n;
+  double part = choice->prefill_ms / n;
   double objective = (double)MAX (choice->demand->objective_left, KNL_MSEC) / KNL_MSEC;
   double finish = 0;
-  double harm = 0;
+  double late = 0;
 
   for (guint i = 0; i < n; i++)
     {
       const SvCandidate *candidate = sv_candidate_at (choice, i);
-      double stretch = candidate->read_left + part + candidate->pass;
+      double pass_ms = candidate->prefill_left + part + candidate->pass;
 
-      finish = MAX (finish, stretch);
-      harm += harm_of (choice, candidate, stretch);
-      harm += sv_load_writers (&candidate->load) * (part / SLOWDOWN_MS);
+      finish = MAX (finish, pass_ms);
+      late += late_streams (choice, candidate, pass_ms);
+      late += sv_load_decoding_streams (&candidate->load) * (part / SLOWDOWN_MS);
     }
   *expected = finish;
-  return harm + worth_of (choice) * ramp (finish, LATE_FROM * objective, objective)
+  return late + weight_of (choice) * ramp (finish, FIRST_EVENT_LATE_START * objective, objective)
          + WAIT_COST * finish / objective;
 }
 
@@ -132,28 +132,28 @@
 cost_of_running (const SvChoice *choice, const SvCandidate *candidate)
 {
   static const double role_cost[] = {
-    [SV_ROLE_READ] = 1000,
-    [SV_ROLE_WRITE] = 0,
+    [SV_ROLE_PREFILL] = 1000,
+    [SV_ROLE_DECODE] = 0,
     [SV_ROLE_PACKED] = 3000,
   };
-  double cost = candidate->read_left + candidate->pass + role_cost[candidate->role];
+  double cost = candidate->prefill_left + candidate->pass + role_cost[candidate->role];
 
-  cost += RUN_SPREAD * noise_of (choice, candidate);
+  cost += RUN_NOISE_COST * noise_of (choice, candidate);
   cost += RUN_MEMORY_COST * (double)candidate->load.tokens / (double)choice->spec->memory_tokens;
   if (candidate->load.calls >= choice->spec->slots)
-    cost += NO_ROOM_COST;
-  return sv_candidate_has_memory (choice, candidate) ? cost : cost + NO_ROOM_COST;
+    cost += OVERLOAD_COST;
+  return sv_candidate_has_memory (choice, candidate) ? cost : cost + OVERLOAD_COST;
 }
 
 /* Sorts the candidates: the one to run the prompt first, then the possible helpers, best first. */
 static void
-order_for_reading (const SvChoice *choice)
+sort_candidates (const SvChoice *choice)
 {
   guint best = 0;
   double least = G_MAXDOUBLE;
   SvCandidate first;
 
-  g_array_sort (choice->candidates, compare_for_reading);
+  g_array_sort (choice->candidates, compare_for_prefill);
   for (guint i = 0; i < choice->candidates->len; i++)
     {
       double cost = cost_of_running (choice, sv_candidate_at (choice, i));
@@ -170,11 +170,12 @@
 
 /* Tokens that the candidate can reserve for a prompt that another endpoint runs. */
 static double
-room_of (const SvChoice *choice, const SvCandidate *candidate)
+holdable_tokens (const SvChoice *choice, const SvCandidate *candidate)
 {
-  double room = sv_candidate_room (choice, candidate);
+  double free_tokens = sv_candidate_free_tokens (choice, candidate);
 
-  return room * HOLD_PART < HOLD_LEAST ? 0 : room * HOLD_PART;
+  return free_tokens * HELPER_HOLD_FRACTION < MIN_HOLD_TOKENS ? 0
+                                                              : free_tokens * HELPER_HOLD_FRACTION;
 }
 
 /* Tokens of the prompt and its answer that the first candidate can't hold. */
@@ -182,15 +183,17 @@
 overflow_of (const SvChoice *choice)
 {
   const SvCandidate *first = sv_candidate_at (choice, 0);
-  double room = sv_candidate_room (choice, first);
+  double free_tokens = sv_candidate_free_tokens (choice, first);
   double need = (double)(choice->demand->prompt_tokens + choice->demand->answer_tokens);
 
-  return sv_candidate_has_memory (choice, first) ? 0 : need - HOLD_FIRST * MAX (room, 0);
+  return sv_candidate_has_memory (choice, first)
+             ? 0
+             : need - FIRST_HOLD_FRACTION * MAX (free_tokens, 0);
 }
 
 /* Number of endpoints that may prefill the prompt: the first candidate and all possible helpers. */
 static guint
-count_readers (const SvChoice *choice)
+count_prefill_endpoints (const SvChoice *choice)
 {
   guint n = 1;
 
@@ -202,24 +205,24 @@
 
 /* Smallest number of endpoints whose free memory holds the prompt. */
 static guint
-least_width (const SvChoice *choice)
+min_width (const SvChoice *choice)
 {
-  double rest = overflow_of (choice);
+  double remaining = overflow_of (choice);
   guint n = 1;
 
-  while (rest > 0 && n < count_readers (choice) && n <= SV_HELPERS)
-    rest -= room_of (choice, sv_candidate_at (choice, n++));
+  while (remaining > 0 && n < count_prefill_endpoints (choice) && n <= SV_MAX_HELPERS)
+    remaining -= holdable_tokens (choice, sv_candidate_at (choice, n++));
   return n;
 }
 
 static guint
 choose_width (const SvChoice *choice, double *expected)
 {
-  guint widest = MIN (count_readers (choice), SV_HELPERS + 1);
-  guint width = widest;
+  guint max_width = MIN (count_prefill_endpoints (choice), SV_MAX_HELPERS + 1);
+  guint width = max_width;
   double least = G_MAXDOUBLE;
 
-  for (guint n = least_width (choice); n <= widest; n++)
+  for (guint n = min_width (choice); n <= max_width; n++)
     {
       double finish;
       double cost = cost_of_width (choice, n, &finish);
@@ -238,17 +241,18 @@
 spread_memory (const SvChoice *choice, SvPlacement *placement)
 {
   double overflow = overflow_of (choice);
-  double rest = overflow;
+  double remaining = overflow;
 
-  for (guint i = 0; i < placement->n_helpers && rest > 0; i++)
+  for (guint i = 0; i < placement->n_helpers && remaining > 0; i++)
     {
-      double hold = MIN (room_of (choice, sv_candidate_at (choice, i + 1)), MAX (rest, HOLD_LEAST));
+      double hold = MIN (holdable_tokens (choice, sv_candidate_at (choice, i + 1)),
+                         MAX (remaining, MIN_HOLD_TOKENS));
 
       placement->holds[i] = (guint64)ceil (hold);
-      rest -= hold;
+      remaining -= hold;
     }
   placement->load.tokens -= (guint64)overflow;
-  placement->lacks_memory = rest > 0;
+  placement->lacks_memory = remaining > 0;
 }
 
 /* Mean duration of a pass without prefill, in ms, 0 for idle endpoints. Prefill takes place within
@@ -260,7 +264,7 @@
 
   for (guint i = 0; i < width; i++)
     {
-      if (sv_load_writers (&sv_candidate_at (choice, i)->load) > 0)
+      if (sv_load_decoding_streams (&sv_candidate_at (choice, i)->load) > 0)
         sum += sv_candidate_at (choice, i)->pass;
     }
   return sum / width;
@@ -272,7 +276,7 @@
   double expected = 0;
   guint width;
 
-  order_for_reading (choice);
+  sort_candidates (choice);
   width = choose_width (choice, &expected);
   placement->first = sv_candidate_at (choice, 0)->endpoint;
   for (guint i = 1; i < width; i++)
@@ -280,9 +284,9 @@
   spread_memory (choice, placement);
   for (guint i = 0; i < width; i++)
     placement->backlog =
-        MAX (placement->backlog, (KnlTime)(sv_candidate_at (choice, i)->read_left * KNL_MSEC));
+        MAX (placement->backlog, (KnlTime)(sv_candidate_at (choice, i)->prefill_left * KNL_MSEC));
   placement->is_split = TRUE;
-  placement->part = (KnlTime)(choice->read_ms / width * KNL_MSEC);
-  placement->read = placement->part + (KnlTime)(mean_pass (choice, width) * KNL_MSEC);
+  placement->part = (KnlTime)(choice->prefill_ms / width * KNL_MSEC);
+  placement->prefill = placement->part + (KnlTime)(mean_pass (choice, width) * KNL_MSEC);
   placement->expected = (KnlTime)(expected * KNL_MSEC);
 }
--- a/serve/place_short.c
+++ b/serve/place_short.c
@@ -7,24 +7,24 @@
 /* Passes that a short prompt occupies its endpoint in addition to its prefill: it arrives in the
  * middle of a pass on average. Without them, short prompts that arrive together would be placed at
  * one endpoint and share a pass that is too long for all of them. */
-#define PACKED_PASSES 0.5
+#define EXTRA_PASSES 0.5
 
 /* Fraction of the objective for the first event that is added to the cost of an endpoint that isn't
  * packed. */
-#define BORDER_PART 0.5
+#define UNPACKED_COST_FRACTION 0.5
 
 /* Cost of a candidate in ms: the time to the first event, plus penalties. */
 static double
 cost_of_packing (const SvChoice *choice, const SvCandidate *candidate)
 {
-  double cost = candidate->read_left + choice->read_ms + candidate->pass;
+  double cost = candidate->prefill_left + choice->prefill_ms + candidate->pass;
   double objective = (double)choice->demand->objective_left / KNL_MSEC;
 
   if (candidate->load.calls + SV_PACK_SPARE_SLOTS > choice->spec->slots
       || !sv_candidate_has_memory (choice, candidate))
     cost += candidate->pass * (1 + candidate->load.calls);
   if (candidate->role != SV_ROLE_PACKED)
-    cost += BORDER_PART * objective;
+    cost += UNPACKED_COST_FRACTION * objective;
   return cost;
 }
 
@@ -41,7 +41,7 @@
 static double
 time_before_part (const SvCandidate *candidate)
 {
-  return candidate->read_left + candidate->pass;
+  return candidate->prefill_left + candidate->pass;
 }
 
 /* Adds the best candidates that may help until the prompt is split into `parts`. Returns the
@@ -67,7 +67,7 @@
 void
 sv_place_short (const SvChoice *choice, SvPlacement *placement)
 {
-  guint parts = CLAMP ((guint)ceil (choice->read_ms / SV_SPLIT_MS), 1, SV_HELPERS + 1);
+  guint parts = CLAMP ((guint)ceil (choice->prefill_ms / SV_SPLIT_MS), 1, SV_MAX_HELPERS + 1);
   const SvCandidate *first;
   double before;
   double part_ms;
@@ -79,8 +79,8 @@
   placement->first = first->endpoint;
   placement->is_full = first->load.calls >= choice->spec->slots;
   before = MAX (time_before_part (first), add_packed_helpers (choice, parts, placement));
-  part_ms = choice->read_ms / (placement->n_helpers + 1);
+  part_ms = choice->prefill_ms / (placement->n_helpers + 1);
   placement->part = (KnlTime)(part_ms * KNL_MSEC);
-  placement->read = placement->part + (KnlTime)(PACKED_PASSES * first->pass * KNL_MSEC);
+  placement->prefill = placement->part + (KnlTime)(EXTRA_PASSES * first->pass * KNL_MSEC);
   placement->expected = (KnlTime)((before + part_ms) * KNL_MSEC);
 }
--- a/serve/reads.c
+++ b/serve/reads.c
@@ -2,34 +2,34 @@
 
 typedef struct
 {
-  SvRead read;
+  SvPrefill prefill;
   KnlTime left;
   KnlTime expires;
 } Row;
 
 void
-sv_reads_init (SvReads *self)
+sv_prefills_init (SvPrefills *self)
 {
   self->rows = g_array_new (FALSE, FALSE, sizeof (Row));
   self->at = 0;
 }
 
 void
-sv_reads_clear (SvReads *self)
+sv_prefills_clear (SvPrefills *self)
 {
   g_array_unref (self->rows);
   self->rows = NULL;
 }
 
 static Row *
-row_at (const SvReads *self, guint index)
+row_at (const SvPrefills *self, guint index)
 {
   return &g_array_index (self->rows, Row, index);
 }
 
 /* Deducts the time since the last call from the prefill times left, newest first. */
 static void
-advance (SvReads *self, KnlTime now)
+advance (SvPrefills *self, KnlTime now)
 {
   KnlTime passed = MAX (now - self->at, 0);
 
@@ -41,60 +41,60 @@
 
       row->left -= done;
       passed -= done;
-      if ((row->left == 0 && !row->read.until_told) || row->expires <= now)
+      if ((row->left == 0 && !row->prefill.until_told) || row->expires <= now)
         g_array_remove_index (self->rows, i - 1);
     }
 }
 
 void
-sv_reads_add (SvReads *self, const SvRead *read, KnlTime now)
+sv_prefills_add (SvPrefills *self, const SvPrefill *prefill, KnlTime now)
 {
-  Row row = { .read = *read, .left = read->length, .expires = now + SV_READ_LIFE };
+  Row row = { .prefill = *prefill, .left = prefill->length, .expires = now + SV_PREFILL_TTL };
 
   advance (self, now);
   g_array_append_val (self->rows, row);
 }
 
 void
-sv_reads_end (SvReads *self, guint64 prompt, KnlTime now)
+sv_prefills_end (SvPrefills *self, guint64 prompt, KnlTime now)
 {
   advance (self, now);
   for (guint i = self->rows->len; i > 0; i--)
     {
-      if (row_at (self, i - 1)->read.prompt == prompt)
+      if (row_at (self, i - 1)->prefill.prompt == prompt)
         g_array_remove_index (self->rows, i - 1);
     }
 }
 
 gboolean
-sv_reads_find (SvReads *self, guint64 prompt, KnlTime now, SvRead *read)
+sv_prefills_find (SvPrefills *self, guint64 prompt, KnlTime now, SvPrefill *prefill)
 {
   advance (self, now);
   for (guint i = 0; i < self->rows->len; i++)
     {
       const Row *row = row_at (self, i);
 
-      if (row->read.prompt != prompt)
+      if (row->prefill.prompt != prompt)
         continue;
-      *read = row->read;
-      read->length = row->left;
+      *prefill = row->prefill;
+      prefill->length = row->left;
       return TRUE;
     }
   return FALSE;
 }
 
 guint
-sv_reads_n_parts (const SvReads *self)
+sv_prefills_count_parts (const SvPrefills *self)
 {
   guint n = 0;
 
   for (guint i = 0; i < self->rows->len; i++)
-    n += row_at (self, i)->read.until_told;
+    n += row_at (self, i)->prefill.until_told;
   return n;
 }
 
 KnlTime
-sv_reads_left (SvReads *self, KnlTime now)
+sv_prefills_time_left (SvPrefills *self, KnlTime now)
 {
   KnlTime left = 0;
 
--- a/serve/relay.c
+++ b/serve/relay.c
@@ -8,22 +8,22 @@
 /* Minimum interval between announcements to other cells, and between forwards to the peers of our
  * cell; changes in between are sent together. A change is known in all cells after at most two of
  * these intervals, two network delays between zones, and the sender's own delay. */
-#define CELL_PACE (5 * KNL_MSEC)
+#define CELL_INTERVAL (5 * KNL_MSEC)
 
 /* Endpoints in each description of a cell, which go through the whole list in turn and repair state
  * after lost datagrams. With 155 endpoints each is announced every 5 s; those in use change, and so
  * are announced, more often. */
-#define DESCRIBED_MOST 12
+#define MAX_DESCRIBED_ENDPOINTS 12
 
 /* Callers' addresses in a description; callers whose own zone has too few instances get them. */
-#define READY_MOST 8
+#define MAX_READY_ADDRESSES 8
 
 /* Instances that receive the description if a zone's relay isn't known; they pass it to their
  * relay. */
-#define GREETED_MOST 2
+#define MAX_INTRODUCTIONS 2
 
 /* Maximum bytes of other cells' datagrams that are forwarded in one datagram. */
-#define PASSED_BYTES 1400
+#define MAX_FORWARDED_BYTES 1400
 
 static const Peer *
 relay_of (const SvPeers *self, const Cell *cell)
@@ -34,7 +34,7 @@
 /* Sends the description to some instances of a cell whose relay isn't known; they pass it to their
  * relay. */
 static void
-greet_cell (SvPeers *self, const Cell *cell, const Alderturn__Datagram *datagram)
+introduce_to_cell (SvPeers *self, const Cell *cell, const Alderturn__Datagram *datagram)
 {
   g_autoptr (GPtrArray) peers = g_ptr_array_new ();
   GHashTableIter iter;
@@ -46,7 +46,7 @@
       if (g_strcmp0 (((const Peer *)value)->zone, cell->zone) == 0)
         g_ptr_array_add (peers, value);
     }
-  for (guint i = 0; i < GREETED_MOST && peers->len > 0; i++)
+  for (guint i = 0; i < MAX_INTRODUCTIONS && peers->len > 0; i++)
     {
       gint32 chosen = g_rand_int_range (knl_kernel_rand (self->kernel), 0, (gint32)peers->len);
 
@@ -68,7 +68,7 @@
       if (relay != NULL && sv_cell_is_alive (self, cell))
         sv_peers_send (self, relay, datagram);
       else if (datagram->cell->described)
-        greet_cell (self, cell, datagram);
+        introduce_to_cell (self, cell, datagram);
     }
 }
 
@@ -76,26 +76,27 @@
 is_same_load (const SvLoad *a, const SvLoad *b)
 {
   return a->calls == b->calls && a->tokens == b->tokens
-         && memcmp (a->writers, b->writers, sizeof a->writers) == 0;
+         && memcmp (a->decoding_streams, b->decoding_streams, sizeof a->decoding_streams) == 0;
 }
 
 static gboolean
-is_told (const SvEndpoint *endpoint, const SvLoad *sum)
+is_announced (const SvEndpoint *endpoint, const SvLoad *sum)
 {
-  return is_same_load (sum, &endpoint->told) && endpoint->told_sent == endpoint->sent_in_cell
-         && endpoint->told_rate == endpoint->limit.rate;
+  return is_same_load (sum, &endpoint->announced)
+         && endpoint->announced_sent == endpoint->sent_in_cell
+         && endpoint->announced_rate == endpoint->limit.rate;
 }
 
 static void
 add_sum (SvPeers *self, Alderturn__Datagram *datagram, Rows *rows, SvEndpoint *endpoint)
 {
-  SvLoad sum = sv_endpoint_own_cell (endpoint);
+  SvLoad sum = sv_endpoint_own_cell_load (endpoint);
 
   sv_peers_add_load (self, datagram, rows, endpoint, &sum);
   sv_peers_add_limit (self, datagram, rows, endpoint, endpoint->sent_in_cell);
-  endpoint->told = sum;
-  endpoint->told_sent = endpoint->sent_in_cell;
-  endpoint->told_rate = endpoint->limit.rate;
+  endpoint->announced = sum;
+  endpoint->announced_sent = endpoint->sent_in_cell;
+  endpoint->announced_rate = endpoint->limit.rate;
   endpoint->cell_changed = FALSE;
 }
 
@@ -104,15 +105,15 @@
 {
   const GPtrArray *endpoints = sv_fleet_all (self->fleet);
 
-  for (guint i = 0; i < endpoints->len && !sv_rows_are_full (rows, datagram, ROWS_MOST / 2); i++)
+  for (guint i = 0; i < endpoints->len && !sv_rows_are_full (rows, datagram, MAX_ROWS / 2); i++)
     {
       SvEndpoint *endpoint = g_ptr_array_index (endpoints, i);
       SvLoad sum;
 
       if (!endpoint->cell_changed)
         continue;
-      sum = sv_endpoint_own_cell (endpoint);
-      if (is_told (endpoint, &sum))
+      sum = sv_endpoint_own_cell_load (endpoint);
+      if (is_announced (endpoint, &sum))
         endpoint->cell_changed = FALSE;
       else
         add_sum (self, datagram, rows, endpoint);
@@ -131,30 +132,30 @@
   cell.id = self->cell;
   datagram.cell = &cell;
   add_changed_sums (self, &datagram, &rows);
-  if (!sv_peers_add_news (&datagram, &rows, &self->cell_news) && datagram.n_loads == 0)
+  if (!sv_peers_add_outbox (&datagram, &rows, &self->cell_outbox) && datagram.n_loads == 0)
     return FALSE;
   send_to_cells (self, &datagram);
-  sv_news_told (&self->cell_news, &datagram);
+  sv_outbox_remove_sent (&self->cell_outbox, &datagram);
   return TRUE;
 }
 
 static void
-on_tell_due (gpointer data)
+on_announce_due (gpointer data)
 {
   SvPeers *self = data;
 
   self->cell_timer = 0;
-  self->cell_told_at = knl_kernel_now (self->kernel);
+  self->cell_announced_at = knl_kernel_now (self->kernel);
   while (send_sums (self))
     ;
 }
 
-/* Runs `func` at once, or CELL_PACE after the last run at `last` (0: never), unless it is scheduled
- * already. */
+/* Runs `func` at once, or CELL_INTERVAL after the last run at `last` (0: never), unless it is
+ * scheduled already. */
 static void
-run_paced (SvPeers *self, KnlTimerId *timer, KnlTime last, KnlTimerFunc func)
+run_rate_limited (SvPeers *self, KnlTimerId *timer, KnlTime last, KnlTimerFunc func)
 {
-  KnlTime wait = last > 0 ? last + CELL_PACE - knl_kernel_now (self->kernel) : 0;
+  KnlTime wait = last > 0 ? last + CELL_INTERVAL - knl_kernel_now (self->kernel) : 0;
 
   if (*timer != 0)
     return;
@@ -165,10 +166,10 @@
 }
 
 void
-sv_relay_tell (SvPeers *self)
+sv_relay_announce (SvPeers *self)
 {
   if (sv_peers_is_relay (self))
-    run_paced (self, &self->cell_timer, self->cell_told_at, on_tell_due);
+    run_rate_limited (self, &self->cell_timer, self->cell_announced_at, on_announce_due);
 }
 
 static guint
@@ -181,7 +182,7 @@
   if (self->ready)
     ready[n++] = (char *)self->self.callers_address;
   g_hash_table_iter_init (&iter, self->peers);
-  while (g_hash_table_iter_next (&iter, NULL, &value) && n < READY_MOST)
+  while (g_hash_table_iter_next (&iter, NULL, &value) && n < MAX_READY_ADDRESSES)
     {
       const Peer *peer = value;
 
@@ -200,7 +201,7 @@
   Alderturn__Cell cell = ALDERTURN__CELL__INIT;
   Alderturn__Datagram datagram;
   Alderturn__Sender sender;
-  char *ready[READY_MOST];
+  char *ready[MAX_READY_ADDRESSES];
   Rows rows;
 
   sv_peers_begin_datagram (self, &datagram, &rows);
@@ -214,9 +215,9 @@
   cell.ready = ready;
   cell.n_ready = fill_ready (self, ready);
   datagram.cell = &cell;
-  for (guint i = 0; i < MIN (endpoints->len, DESCRIBED_MOST); i++)
+  for (guint i = 0; i < MIN (endpoints->len, MAX_DESCRIBED_ENDPOINTS); i++)
     add_sum (self, &datagram, &rows,
-             g_ptr_array_index (endpoints, self->described_from++ % endpoints->len));
+             g_ptr_array_index (endpoints, self->next_described++ % endpoints->len));
   send_to_cells (self, &datagram);
 }
 
@@ -234,7 +235,7 @@
 sv_relay_note_ready (SvPeers *self)
 {
   if (sv_peers_is_relay (self))
-    run_paced (self, &self->describe_timer, self->described_at, on_describe_due);
+    run_rate_limited (self, &self->describe_timer, self->described_at, on_describe_due);
 }
 
 /* Drops the load of a silent cell, which may have ended long ago. */
@@ -254,7 +255,7 @@
 /* Called when this instance becomes relay. Other cells hold what the previous relay announced,
  * which isn't known here, so all sums are marked as changed. */
 static void
-take_over (SvPeers *self)
+start_as_relay (SvPeers *self)
 {
   const GPtrArray *endpoints = sv_fleet_all (self->fleet);
 
@@ -263,13 +264,13 @@
     {
       SvEndpoint *endpoint = g_ptr_array_index (endpoints, i);
 
-      endpoint->told.calls = G_MAXUINT;
+      endpoint->announced.calls = G_MAXUINT;
       endpoint->cell_changed = TRUE;
     }
 }
 
 void
-sv_relay_beat (SvPeers *self)
+sv_relay_on_heartbeat (SvPeers *self)
 {
   gboolean is_relay = sv_peers_is_relay (self);
   GHashTableIter iter;
@@ -279,31 +280,32 @@
   while (g_hash_table_iter_next (&iter, NULL, &cell))
     drop_silent (self, cell);
   if (is_relay && !self->was_relay)
-    take_over (self);
+    start_as_relay (self);
   self->was_relay = is_relay;
   if (!is_relay)
     return;
   describe (self);
-  sv_relay_tell (self);
+  sv_relay_announce (self);
 }
 
 /* Forwards as many of the queued datagrams as fit into one; the others stay queued. */
 static void
-send_passed (SvPeers *self)
+send_forwarded (SvPeers *self)
 {
-  ProtobufCBinaryData passed[ROWS_MOST];
+  ProtobufCBinaryData passed[MAX_ROWS];
   Alderturn__Datagram datagram;
   Rows rows;
   gsize bytes = 0;
   guint n = 0;
 
   sv_peers_begin_datagram (self, &datagram, &rows);
-  for (; n < MIN (self->passing->len, ROWS_MOST); n++)
+  for (; n < MIN (self->forward_queue->len, MAX_ROWS); n++)
     {
       gsize length;
-      gconstpointer content = g_bytes_get_data (g_ptr_array_index (self->passing, n), &length);
+      gconstpointer content =
+          g_bytes_get_data (g_ptr_array_index (self->forward_queue, n), &length);
 
-      if (n > 0 && bytes + length > PASSED_BYTES)
+      if (n > 0 && bytes + length > MAX_FORWARDED_BYTES)
         break;
       passed[n] = (ProtobufCBinaryData){ .len = length, .data = (guint8 *)content };
       bytes += length;
@@ -311,31 +313,31 @@
   datagram.passed = passed;
   datagram.n_passed = n;
   sv_peers_send_to_cell (self, &datagram);
-  g_ptr_array_remove_range (self->passing, 0, n);
+  g_ptr_array_remove_range (self->forward_queue, 0, n);
 }
 
 static void
-on_pass_due (gpointer data)
+on_forward_due (gpointer data)
 {
   SvPeers *self = data;
 
-  self->pass_timer = 0;
-  self->passed_at = knl_kernel_now (self->kernel);
-  while (self->passing->len > 0)
-    send_passed (self);
+  self->forward_timer = 0;
+  self->forwarded_at = knl_kernel_now (self->kernel);
+  while (self->forward_queue->len > 0)
+    send_forwarded (self);
 }
 
 static void
-pass_on (SvPeers *self, const guint8 *bytes, gsize length)
+forward_to_cell (SvPeers *self, const guint8 *bytes, gsize length)
 {
-  g_ptr_array_add (self->passing, g_bytes_new (bytes, length));
-  run_paced (self, &self->pass_timer, self->passed_at, on_pass_due);
+  g_ptr_array_add (self->forward_queue, g_bytes_new (bytes, length));
+  run_rate_limited (self, &self->forward_timer, self->forwarded_at, on_forward_due);
 }
 
 /* Passes a datagram from another cell to our relay: its sender doesn't know which instance that is.
  */
 static void
-hand_to_relay (SvPeers *self, const Peer *relay, const guint8 *bytes, gsize length)
+forward_to_relay (SvPeers *self, const Peer *relay, const guint8 *bytes, gsize length)
 {
   ProtobufCBinaryData passed = { .len = length, .data = (guint8 *)bytes };
   Alderturn__Datagram datagram;
@@ -358,15 +360,15 @@
 
   if (relay != NULL)
     {
-      hand_to_relay (self, relay, bytes, length);
+      forward_to_relay (self, relay, bytes, length);
       return;
     }
-  sv_peers_take_cell (self, datagram);
-  pass_on (self, bytes, length);
+  sv_peers_handle_cell (self, datagram);
+  forward_to_cell (self, bytes, length);
 }
 
 void
-sv_relay_take_passed (SvPeers *self, const Alderturn__Datagram *datagram)
+sv_relay_handle_forwarded (SvPeers *self, const Alderturn__Datagram *datagram)
 {
   for (guint i = 0; i < datagram->n_passed; i++)
     {
@@ -376,11 +378,11 @@
       if (passed == NULL)
         continue;
       if (passed->cell != NULL && passed->cell->id != self->cell)
-        sv_peers_take_cell (self, passed);
+        sv_peers_handle_cell (self, passed);
       /* Not passed to a relay again: two instances that each take the other for the relay would do
        * so forever. */
       if (datagram->to_relay)
-        pass_on (self, bytes->data, bytes->len);
+        forward_to_cell (self, bytes->data, bytes->len);
       alderturn__datagram__free_unpacked (passed, NULL);
     }
 }
@@ -392,35 +394,33 @@
   const Peer *peer;
   Alderturn__Datagram datagram;
   Rows rows;
-  News news;
-} Picture;
+  Outbox outbox;
+} Snapshot;
 
 static void
-send_picture (Picture *self)
+send_snapshot (Snapshot *self)
 {
-  sv_peers_add_news (&self->datagram, &self->rows, &self->news);
+  sv_peers_add_outbox (&self->datagram, &self->rows, &self->outbox);
   if (self->datagram.n_loads + self->datagram.n_reads > 0)
     sv_peers_send (self->peers, self->peer, &self->datagram);
-  sv_news_told (&self->news, &self->datagram);
+  sv_outbox_remove_sent (&self->outbox, &self->datagram);
   sv_peers_begin_datagram (self->peers, &self->datagram, &self->rows);
 }
 
 static void
-picture_read (const SvRead *read, const guint64 *keys, guint n, gpointer data)
+snapshot_add_prefill (const SvPrefill *read, const guint64 *keys, guint n, gpointer data)
 {
-  Picture *self = data;
-  PlacedReadRow row = {
-    .prompt = read->prompt, .length = read->length, .until_told = TRUE, .n = n
-  };
+  Snapshot *self = data;
+  PrefillRow row = { .prompt = read->prompt, .length = read->length, .until_told = TRUE, .n = n };
 
   memcpy (row.keys, keys, n * sizeof *keys);
-  g_array_append_val (self->news.reads, row);
-  if (self->news.reads->len == READS_MOST)
-    send_picture (self);
+  g_array_append_val (self->outbox.reads, row);
+  if (self->outbox.reads->len == MAX_PREFILL_ROWS)
+    send_snapshot (self);
 }
 
 static void
-picture_endpoint (Picture *self, const SvEndpoint *endpoint)
+snapshot_add_endpoint (Snapshot *self, const SvEndpoint *endpoint)
 {
   for (guint i = 0; i < endpoint->peers->len; i++)
     {
@@ -430,8 +430,8 @@
         continue;
       sv_peers_add_load (self->peers, &self->datagram, &self->rows, endpoint, &row->load);
       self->rows.loads[self->datagram.n_loads - 1].cell = row->source;
-      if (self->datagram.n_loads == ROWS_MOST)
-        send_picture (self);
+      if (self->datagram.n_loads == MAX_ROWS)
+        send_snapshot (self);
     }
 }
 
@@ -439,26 +439,26 @@
  * send their first requests to the same few endpoints, and for seconds some engines have full
  * queues next to idle ones. */
 void
-sv_relay_send_picture (SvPeers *self, const Peer *peer)
+sv_relay_send_snapshot (SvPeers *self, const Peer *peer)
 {
   const GPtrArray *endpoints = sv_fleet_all (self->fleet);
-  Picture picture = { .peers = self, .peer = peer };
+  Snapshot snapshot = { .peers = self, .peer = peer };
 
   if (!sv_peers_is_relay (self))
     return;
-  sv_news_init (&picture.news);
-  sv_peers_begin_datagram (self, &picture.datagram, &picture.rows);
+  sv_outbox_init (&snapshot.outbox);
+  sv_peers_begin_datagram (self, &snapshot.datagram, &snapshot.rows);
   for (guint i = 0; i < endpoints->len; i++)
-    picture_endpoint (&picture, g_ptr_array_index (endpoints, i));
-  sv_fleet_each_read (self->fleet, picture_read, &picture);
-  send_picture (&picture);
-  sv_news_clear (&picture.news);
+    snapshot_add_endpoint (&snapshot, g_ptr_array_index (endpoints, i));
+  sv_fleet_each_prefill (self->fleet, snapshot_add_prefill, &snapshot);
+  send_snapshot (&snapshot);
+  sv_outbox_clear (&snapshot.outbox);
 }
 
 void
 sv_relay_stop (SvPeers *self)
 {
   knl_timer_stop (self->kernel, &self->cell_timer);
-  knl_timer_stop (self->kernel, &self->pass_timer);
+  knl_timer_stop (self->kernel, &self->forward_timer);
   knl_timer_stop (self->kernel, &self->describe_timer);
 }
--- a/serve/reservation.c
+++ b/serve/reservation.c
@@ -5,25 +5,25 @@
 #include "common/log.h"
 
 /* An order without an answer after this time counts as lost. */
-#define ORDER_LIMIT (800 * KNL_MSEC)
+#define ORDER_TIMEOUT (800 * KNL_MSEC)
 
 #define CONNECT_TIMEOUT (300 * KNL_MSEC)
-#define REUSE_IDLE      (1 * KNL_SEC)
+#define MAX_IDLE        (1 * KNL_SEC)
 
 /* Renewals within the length of a lease, since one order in three may be lost. */
-#define RENEWALS 5
+#define RENEWALS_PER_LEASE 5
 
-/* Delay after ORDER_LIMIT until a release is sent again, which goes on until the lease has
+/* Delay after ORDER_TIMEOUT until a release is sent again, which goes on until the lease has
  * expired. */
-#define RELEASE_AGAIN (400 * KNL_MSEC)
+#define RELEASE_RETRY_DELAY (400 * KNL_MSEC)
 
 typedef enum
 {
-  TICKET_ASKED,
-  TICKET_HELD,
-  TICKET_FAILED,
-  TICKET_FREE,
-} TicketState;
+  ORDER_PENDING,
+  ORDER_HELD,
+  ORDER_FAILED,
+  ORDER_RELEASED,
+} OrderState;
 
 typedef struct
 {
@@ -31,18 +31,18 @@
   SvEndpoint *endpoint;
   SvLoad load;
   char *id;
-  TicketState state;
+  OrderState state;
   HtExchange *exchange;
-  KnlTimerId limit_timer;
-} Ticket;
+  KnlTimerId timeout_timer;
+} Order;
 
 struct SvReservation
 {
   SvReservationParts parts;
   SvReservationFunc func;
   gpointer data;
-  Ticket *tickets;
-  guint n_tickets;
+  Order *orders;
+  guint n_orders;
   KnlTimerId timer; /* next renewal or release */
   gboolean releasing;
   KnlTime release_until;
@@ -51,9 +51,9 @@
 static void on_timer (gpointer data);
 
 static void
-ticket_clear (Ticket *self)
+order_clear (Order *self)
 {
-  knl_timer_stop (self->reservation->parts.kernel, &self->limit_timer);
+  knl_timer_stop (self->reservation->parts.kernel, &self->timeout_timer);
   if (self->exchange != NULL)
     ht_exchange_cancel (self->exchange);
   sv_endpoint_charge (self->endpoint, &self->load, -1);
@@ -65,32 +65,32 @@
 reservation_free (SvReservation *self)
 {
   knl_timer_stop (self->parts.kernel, &self->timer);
-  for (guint i = 0; i < self->n_tickets; i++)
-    ticket_clear (&self->tickets[i]);
-  g_free (self->tickets);
+  for (guint i = 0; i < self->n_orders; i++)
+    order_clear (&self->orders[i]);
+  g_free (self->orders);
   g_free (self);
 }
 
 static guint
-count (const SvReservation *self, TicketState state)
+count_orders (const SvReservation *self, OrderState state)
 {
   guint n = 0;
 
-  for (guint i = 0; i < self->n_tickets; i++)
-    n += self->tickets[i].state == state;
+  for (guint i = 0; i < self->n_orders; i++)
+    n += self->orders[i].state == state;
   return n;
 }
 
 /* Calls the callback once every initial order has an answer or counts as lost. */
 static void
-take_first_round (SvReservation *self)
+report_result (SvReservation *self)
 {
   SvReservationFunc func = self->func;
 
-  if (func == NULL || count (self, TICKET_ASKED) > 0)
+  if (func == NULL || count_orders (self, ORDER_PENDING) > 0)
     return;
   self->func = NULL;
-  if (count (self, TICKET_HELD) == self->n_tickets)
+  if (count_orders (self, ORDER_HELD) == self->n_orders)
     {
       func (TRUE, self->data);
       return;
@@ -100,19 +100,19 @@
 }
 
 static void
-take_release (SvReservation *self)
+free_if_released (SvReservation *self)
 {
-  if (count (self, TICKET_FREE) == self->n_tickets)
+  if (count_orders (self, ORDER_RELEASED) == self->n_orders)
     reservation_free (self);
 }
 
 static void
-end_order (Ticket *self, guint status)
+end_order (Order *self, guint status)
 {
   SvReservation *reservation = self->reservation;
 
   self->exchange = NULL;
-  knl_timer_stop (reservation->parts.kernel, &self->limit_timer);
+  knl_timer_stop (reservation->parts.kernel, &self->timeout_timer);
   if (status != 200)
     cm_log (CM_LOG_INFO, "reserve-failed", "s", "reservation", self->id, "s", "endpoint",
             self->endpoint->id, "i", "status", (gint64)status, "b", "releasing",
@@ -120,25 +120,25 @@
   if (reservation->releasing)
     {
       if (status == 200)
-        self->state = TICKET_FREE;
-      take_release (reservation);
+        self->state = ORDER_RELEASED;
+      free_if_released (reservation);
       return;
     }
-  if (self->state == TICKET_ASKED)
-    self->state = status == 200 ? TICKET_HELD : TICKET_FAILED;
-  take_first_round (reservation);
+  if (self->state == ORDER_PENDING)
+    self->state = status == 200 ? ORDER_HELD : ORDER_FAILED;
+  report_result (reservation);
 }
 
 static HtHeadVerdict
 on_head (HtExchange *exchange, HtMessage *answer, gpointer data)
 {
-  const Ticket *self = data;
+  const Order *self = data;
   const SvReservationParts *parts = &self->reservation->parts;
   SvReply reply;
 
   parts->dialect->klass->read_reply (parts->dialect, answer, &reply);
-  sv_reply_note_words (&reply, self->endpoint, knl_kernel_now (parts->kernel));
-  return HT_HEAD_TAKE;
+  sv_reply_note_signals (&reply, self->endpoint, knl_kernel_now (parts->kernel));
+  return HT_HEAD_ACCEPT;
 }
 
 static void
@@ -162,16 +162,16 @@
 static void
 on_order_limit (gpointer data)
 {
-  Ticket *self = data;
+  Order *self = data;
   HtExchange *exchange = self->exchange;
 
-  self->limit_timer = 0;
+  self->timeout_timer = 0;
   ht_exchange_cancel (exchange);
   end_order (self, 0);
 }
 
 static void
-send_order (Ticket *self, guint64 tokens)
+send_order (Order *self, guint64 tokens)
 {
   const SvReservationParts *parts = &self->reservation->parts;
   SvReserve reserve = { .id = self->id, .tokens = tokens, .hold = parts->hold };
@@ -184,13 +184,13 @@
     .body = body->str,
     .body_length = body->len,
     .connect_timeout = CONNECT_TIMEOUT,
-    .max_idle = REUSE_IDLE,
+    .max_idle = MAX_IDLE,
   };
 
   if (self->exchange != NULL)
     ht_exchange_cancel (self->exchange);
-  knl_timer_stop (parts->kernel, &self->limit_timer);
-  self->limit_timer = knl_timer_start (parts->kernel, ORDER_LIMIT, on_order_limit, self);
+  knl_timer_stop (parts->kernel, &self->timeout_timer);
+  self->timeout_timer = knl_timer_start (parts->kernel, ORDER_TIMEOUT, on_order_limit, self);
   self->exchange = ht_client_send (parts->client, &request, &order_events, self);
   g_string_free (body, TRUE);
 }
@@ -198,12 +198,13 @@
 static void
 release_all (SvReservation *self)
 {
-  for (guint i = 0; i < self->n_tickets; i++)
+  for (guint i = 0; i < self->n_orders; i++)
     {
-      if (self->tickets[i].state != TICKET_FREE)
-        send_order (&self->tickets[i], 0);
+      if (self->orders[i].state != ORDER_RELEASED)
+        send_order (&self->orders[i], 0);
     }
-  self->timer = knl_timer_start (self->parts.kernel, RELEASE_AGAIN + ORDER_LIMIT, on_timer, self);
+  self->timer =
+      knl_timer_start (self->parts.kernel, RELEASE_RETRY_DELAY + ORDER_TIMEOUT, on_timer, self);
 }
 
 static void
@@ -216,15 +217,15 @@
     {
       /* An order without an answer yet isn't sent again: that would restart its time-out, and it
        * would never count as lost. */
-      for (guint i = 0; i < self->n_tickets; i++)
+      for (guint i = 0; i < self->n_orders; i++)
         {
           /* After a restart of the endpoint a renewal would reserve memory anew, for a prompt that
            * is lost. */
-          if (self->tickets[i].state == TICKET_HELD && !self->tickets[i].endpoint->is_replaced)
-            send_order (&self->tickets[i], self->tickets[i].load.tokens);
+          if (self->orders[i].state == ORDER_HELD && !self->orders[i].endpoint->is_replaced)
+            send_order (&self->orders[i], self->orders[i].load.tokens);
         }
-      self->timer =
-          knl_timer_start (self->parts.kernel, self->parts.hold / RENEWALS, on_timer, self);
+      self->timer = knl_timer_start (self->parts.kernel, self->parts.hold / RENEWALS_PER_LEASE,
+                                     on_timer, self);
     }
   else if (knl_kernel_now (self->parts.kernel) >= self->release_until)
     reservation_free (self);
@@ -246,31 +247,31 @@
   self->parts = *parts;
   self->func = func;
   self->data = data;
-  self->tickets = g_new0 (Ticket, n);
-  self->n_tickets = n;
+  self->orders = g_new0 (Order, n);
+  self->n_orders = n;
   for (guint i = 0; i < n; i++)
     {
-      Ticket *ticket = &self->tickets[i];
+      Order *order = &self->orders[i];
 
-      ticket->reservation = self;
-      ticket->endpoint = sv_endpoint_ref (endpoints[i]);
-      ticket->load.tokens = tokens[i];
-      ticket->id =
+      order->reservation = self;
+      order->endpoint = sv_endpoint_ref (endpoints[i]);
+      order->load.tokens = tokens[i];
+      order->id =
           g_strdup_printf ("%s.%u.%x", name, i, g_rand_int (knl_kernel_rand (parts->kernel)));
-      sv_endpoint_charge (ticket->endpoint, &ticket->load, 1);
-      send_order (ticket, tokens[i]);
+      sv_endpoint_charge (order->endpoint, &order->load, 1);
+      send_order (order, tokens[i]);
     }
-  self->timer = knl_timer_start (parts->kernel, parts->hold / RENEWALS, on_timer, self);
+  self->timer = knl_timer_start (parts->kernel, parts->hold / RENEWALS_PER_LEASE, on_timer, self);
   return self;
 }
 
 const char *
 sv_reservation_id (const SvReservation *self, const SvEndpoint *endpoint)
 {
-  for (guint i = 0; i < self->n_tickets; i++)
+  for (guint i = 0; i < self->n_orders; i++)
     {
-      if (self->tickets[i].endpoint == endpoint)
-        return self->tickets[i].id;
+      if (self->orders[i].endpoint == endpoint)
+        return self->orders[i].id;
     }
   return NULL;
 }
--- a/serve/router.c
+++ b/serve/router.c
@@ -11,7 +11,7 @@
   PolPlainCandidate plain = {
     .calls = candidate->load.calls,
     .slots = endpoint->slots,
-    .is_far = g_strcmp0 (endpoint->zone, demand->zone) != 0,
+    .is_other_zone = g_strcmp0 (endpoint->zone, demand->zone) != 0,
     .health = &endpoint->health,
   };
 
@@ -40,7 +40,7 @@
  * Endpoints that are down aren't waited for. One that only this request excludes counts, since it
  * accepts the request when the caller sends it again. */
 static KnlTime
-least_wait (const SvFleet *fleet, const SvDemand *demand, KnlTime now)
+min_limit_wait (const SvFleet *fleet, const SvDemand *demand, KnlTime now)
 {
   const GPtrArray *endpoints = sv_fleet_service (fleet, demand->service->name);
   KnlTime least = 0;
@@ -48,9 +48,9 @@
   for (guint i = 0; endpoints != NULL && i < endpoints->len; i++)
     {
       SvEndpoint *endpoint = g_ptr_array_index (endpoints, i);
-      KnlTime wait = sv_endpoint_wait (fleet, endpoint, now);
+      KnlTime wait = sv_endpoint_wait_time (fleet, endpoint, now);
 
-      if (!sv_endpoint_usable (endpoint, now))
+      if (!sv_endpoint_is_usable (endpoint, now))
         continue;
       if (wait == 0)
         return 0;
@@ -72,7 +72,7 @@
   *placement = (SvPlacement){ .load = { .calls = 1 } };
   if (candidates->len == 0)
     {
-      placement->limited = least_wait (fleet, demand, now);
+      placement->limit_wait = min_limit_wait (fleet, demand, now);
       return FALSE;
     }
   if (!sv_service_is_engine (demand->service) || demand->prompt_tokens == 0)
@@ -80,11 +80,11 @@
       place_plain (&choice, placement);
       return TRUE;
     }
-  choice.read_ms = sv_model_read_ms (choice.spec, (double)demand->prompt_tokens);
-  placement->load.writers[sv_pause_of (demand->gap_objective)] = 1;
+  choice.prefill_ms = sv_model_prefill_ms (choice.spec, (double)demand->prompt_tokens);
+  placement->load.decoding_streams[sv_gap_class_of (demand->gap_objective)] = 1;
   placement->load.tokens = demand->prompt_tokens + demand->answer_tokens;
   sv_candidates_assign_roles (&choice);
-  if (choice.read_ms > SV_SPLIT_MS && sv_pause_of (demand->gap_objective) != SV_PAUSE_TIGHT)
+  if (choice.prefill_ms > SV_SPLIT_MS && sv_gap_class_of (demand->gap_objective) != SV_GAP_TIGHT)
     sv_place_long (&choice, placement);
   else
     sv_place_short (&choice, placement);
@@ -114,7 +114,7 @@
 }
 
 guint
-sv_placement_readers (const SvPlacement *self, guint64 keys[SV_HELPERS + 1])
+sv_placement_prefill_keys (const SvPlacement *self, guint64 keys[SV_MAX_HELPERS + 1])
 {
   guint n = 0;
 
--- a/serve/router_internal.h
+++ b/serve/router_internal.h
@@ -15,18 +15,18 @@
 /* Current role of an endpoint, from its position in an order of keys that all instances share. */
 typedef enum
 {
-  SV_ROLE_READ,   /* helps with the prefill of long prompts */
-  SV_ROLE_WRITE,  /* runs long prompts: prefills its own part and decodes */
-  SV_ROLE_PACKED, /* streams with a tight gap objective are packed onto it */
+  SV_ROLE_PREFILL, /* helps with the prefill of long prompts */
+  SV_ROLE_DECODE,  /* runs long prompts: prefills its own part and decodes */
+  SV_ROLE_PACKED,  /* streams with a tight gap objective are packed onto it */
 } SvRole;
 
 typedef struct
 {
   SvEndpoint *endpoint;
   SvLoad load;
-  double read_left; /* prefill backlog, ms */
-  double pass;      /* duration of a pass without prefill, ms */
-  double order;     /* sort key, ms; see stream_order_ms and cost_of_packing */
+  double prefill_left; /* prefill backlog, ms */
+  double pass;         /* duration of a pass without prefill, ms */
+  double order;        /* sort key, ms; see stream_cost_ms and cost_of_packing */
   SvRole role;
   gboolean can_help; /* may prefill parts of prompts that other endpoints run */
 } SvCandidate;
@@ -37,7 +37,7 @@
   const SvDemand *demand;
   const SvEngineSpec *spec;
   GArray *candidates; /* SvCandidate */
-  double read_ms;     /* prefill time of the full prompt */
+  double prefill_ms;  /* prefill time of the full prompt */
   double packed_mean; /* mean number of tight streams on a packed endpoint */
 } SvChoice;
 
@@ -59,7 +59,7 @@
 gboolean sv_candidate_has_memory (const SvChoice *choice, const SvCandidate *candidate);
 
 /** Tokens of context that the candidate has free memory for; may be negative. */
-double sv_candidate_room (const SvChoice *choice, const SvCandidate *candidate);
+double sv_candidate_free_tokens (const SvChoice *choice, const SvCandidate *candidate);
 
 /* place_short.c */
 
--- a/serve/send.c
+++ b/serve/send.c
@@ -13,58 +13,60 @@
 /* Longest idle time of a kept connection that is reused. After a longer one the endpoint may have
  * closed it unnoticed. A request that may run only once must not risk that, so it uses only
  * connections used very recently. */
-#define REUSE_IDLE      (8 * KNL_SEC)
-#define REUSE_IDLE_ONCE (1 * KNL_SEC)
+#define MAX_REUSE_IDLE      (8 * KNL_SEC)
+#define MAX_REUSE_IDLE_ONCE (1 * KNL_SEC)
 
 /* A request whose caller waits for at least this fraction of the route's timeout is taken for its
  * first try; a caller that was refused returns with less time left. */
-#define FIRST_TRY_PART 0.95
+#define FIRST_TRY_FRACTION 0.95
 
 /* Urgencies at endpoints, from 0 (first) to 9 (last): 0 to 4 for requests that can meet their
  * objective, 5 to 9 for late ones. */
-#define URGENCY_USUAL_MOST 4
-#define URGENCY_LATE       5
-#define URGENCY_MOST       9
+#define URGENCY_ON_TIME_MAX 4
+#define URGENCY_LATE        5
+#define URGENCY_MAX         9
 
 /* A request with less time than this to its deadline isn't sent. */
-#define LEAST_LEFT (5 * KNL_MSEC)
+#define MIN_TIME_LEFT (5 * KNL_MSEC)
 
 /* An endpoint is considered lost when an idempotent request there is silent for too long: without
- * an answer for SILENCE_OBJECTIVES times its objective (for prompts, SILENCE_EXPECTED times the
- * objective and the expected time), or, once its stream has begun, without an event for
- * SILENCE_GAPS times its gap objective. Each has a minimum. */
-#define SILENCE_OBJECTIVES 2.5
-#define SILENCE_EXPECTED   2.0
-#define SILENCE_GAPS       4.0
-#define SILENCE_LEAST      (250 * KNL_MSEC)
-#define SILENCE_GAP_LEAST  (1 * KNL_SEC)
+ * an answer for SILENCE_OBJECTIVE_FACTOR times its objective (for prompts, SILENCE_EXPECTED_FACTOR
+ * times the objective and the expected time), or, once its stream has begun, without an event for
+ * SILENCE_GAP_FACTOR times its gap objective. Each has a minimum. */
+#define SILENCE_OBJECTIVE_FACTOR 2.5
+#define SILENCE_EXPECTED_FACTOR  2.0
+#define SILENCE_GAP_FACTOR       4.0
+#define SILENCE_MIN              (250 * KNL_MSEC)
+#define SILENCE_GAP_MIN          (1 * KNL_SEC)
 
 /* Delay until the next check of a silent endpoint when no retry was left. By then a slice of the
  * budget's window of ten seconds has passed, or the stream may have continued. */
-#define WATCH_AGAIN (500 * KNL_MSEC)
+#define WATCH_RETRY_DELAY (500 * KNL_MSEC)
 
-/* An endpoint that answered any request within SILENCE_HEARD is alive, and may have the silent
- * request in its queue; that request then gets up to SILENCE_QUEUED times the silence limit. */
-#define SILENCE_HEARD  (600 * KNL_MSEC)
-#define SILENCE_QUEUED 4
+/* An endpoint that answered any request within SILENCE_ALIVE_WINDOW is alive, and may have the
+ * silent request in its queue; that request then gets up to SILENCE_QUEUED_FACTOR times the silence
+ * limit. */
+#define SILENCE_ALIVE_WINDOW  (600 * KNL_MSEC)
+#define SILENCE_QUEUED_FACTOR 4
 
 /* Prompts deferred at all instances wait for the same engines, and would be sent at the same
  * moment. A random delay of up to this fraction of the objective spreads them; a placement by one
  * instance is known to the others after about 5 ms. */
-#define DEFER_SPREAD_PART 0.025
+#define DEFER_JITTER_FRACTION 0.025
 
 /* How long the endpoint may be silent. */
 static KnlTime
-silence_limit (const SvRequest *self)
+silence_timeout (const SvRequest *self)
 {
   double objective = (double)self->route->objective;
 
-  if (self->first_at > 0)
-    return MAX ((KnlTime)(SILENCE_GAPS * (double)self->route->gap_objective), SILENCE_GAP_LEAST);
-  if (self->ask.prompt_tokens > 0)
-    return MAX ((KnlTime)(SILENCE_EXPECTED * (objective + (double)self->placement.expected)),
-                SILENCE_LEAST);
-  return MAX ((KnlTime)(SILENCE_OBJECTIVES * objective), SILENCE_LEAST);
+  if (self->first_sent_at > 0)
+    return MAX ((KnlTime)(SILENCE_GAP_FACTOR * (double)self->route->gap_objective),
+                SILENCE_GAP_MIN);
+  if (self->params.prompt_tokens > 0)
+    return MAX ((KnlTime)(SILENCE_EXPECTED_FACTOR * (objective + (double)self->placement.expected)),
+                SILENCE_MIN);
+  return MAX ((KnlTime)(SILENCE_OBJECTIVE_FACTOR * objective), SILENCE_MIN);
 }
 
 /*
@@ -76,14 +78,14 @@
 on_watch (gpointer data)
 {
   SvRequest *self = data;
-  KnlTime since = MAX (self->sent_at, self->last_at);
-  KnlTime left = since + silence_limit (self) - sv_request_now (self);
+  KnlTime since = MAX (self->sent_at, self->last_received_at);
+  KnlTime left = since + silence_timeout (self) - sv_request_now (self);
 
   /* Prefills known to be running there explain a gap, and so does a queue: an endpoint that answers
    * other requests is alive. */
-  left += sv_endpoint_read_left (self->placement.first, sv_request_now (self));
-  if (left <= 0 && sv_request_now (self) - since < SILENCE_QUEUED * silence_limit (self))
-    left = self->placement.first->heard_at + SILENCE_HEARD - sv_request_now (self);
+  left += sv_endpoint_prefill_left (self->placement.first, sv_request_now (self));
+  if (left <= 0 && sv_request_now (self) - since < SILENCE_QUEUED_FACTOR * silence_timeout (self))
+    left = self->placement.first->last_seen_at + SILENCE_ALIVE_WINDOW - sv_request_now (self);
   self->watch_timer = 0;
   if (left > 0)
     {
@@ -93,26 +95,27 @@
   if (self->runs + 1 >= self->route->max_attempts)
     return;
   /* The endpoint may just be slow: its work isn't discarded unless the request can be retried. */
-  if (!sv_request_retry_left (self))
+  if (!sv_request_has_retry_left (self))
     {
-      self->watch_timer = knl_timer_start (self->core->parts.kernel, WATCH_AGAIN, on_watch, self);
+      self->watch_timer =
+          knl_timer_start (self->core->parts.kernel, WATCH_RETRY_DELAY, on_watch, self);
       return;
     }
   sv_endpoint_note_loss (self->placement.first, sv_request_now (self));
-  sv_request_stop_send (self);
-  sv_request_take_loss (self, "silent", TRUE);
+  sv_request_cancel_send (self);
+  sv_request_handle_loss (self, "silent", TRUE);
 }
 
 static guint64
 expected_answer (const SvRequest *self)
 {
-  guint64 most = self->ask.answer_tokens;
+  guint64 most = self->params.answer_tokens;
 
-  return self->ask.answer_hint > 0 ? MIN (self->ask.answer_hint, most) : most;
+  return self->params.answer_hint > 0 ? MIN (self->params.answer_hint, most) : most;
 }
 
 static gboolean
-find_place (SvRequest *self, const GPtrArray *excluded, SvPlacement *placement)
+find_placement (SvRequest *self, const GPtrArray *excluded, SvPlacement *placement)
 {
   SvCore *core = self->core;
   KnlTime now = sv_request_now (self);
@@ -120,11 +123,11 @@
     .config = self->config,
     .service = self->service,
     .zone = core->parts.zone,
-    .prompt_tokens = self->ask.prompt_tokens,
+    .prompt_tokens = self->params.prompt_tokens,
     .answer_tokens = expected_answer (self),
     .objective_left = MAX (self->begun_at + self->route->objective - now, 0),
     .gap_objective = self->route->gap_objective,
-    .seed = XXH64 (self->ask.id, strlen (self->ask.id), self->offers),
+    .seed = XXH64 (self->params.id, strlen (self->params.id), self->sends),
     .excluded = excluded,
   };
 
@@ -135,7 +138,7 @@
 place (SvRequest *self)
 {
   SvPlacement before = self->placement;
-  gboolean placed = find_place (self, self->excluded, &self->placement);
+  gboolean placed = find_placement (self, self->excluded, &self->placement);
 
   if (placed)
     sv_placement_ref (&self->placement);
@@ -150,15 +153,15 @@
 
   g_ptr_array_set_free_func (excluded, NULL);
   g_ptr_array_add (excluded, endpoint);
-  return find_place (self, excluded, placement) && !placement->is_full;
+  return find_placement (self, excluded, placement) && !placement->is_full;
 }
 
 /* A caller that was refused before returns with less time than the route allows. */
 static gboolean
 is_first_try (const SvRequest *self)
 {
-  return self->runs == 0 && self->ask.last_event == NULL
-         && self->ask.limit >= (KnlTime)(FIRST_TRY_PART * (double)self->route->timeout);
+  return self->runs == 0 && self->params.last_event == NULL
+         && self->params.limit >= (KnlTime)(FIRST_TRY_FRACTION * (double)self->route->timeout);
 }
 
 /* Its first event has not been sent and is expected to miss the objective. */
@@ -167,7 +170,7 @@
 {
   KnlTime waited = sv_request_now (self) - self->begun_at;
 
-  return self->first_at == 0
+  return self->first_sent_at == 0
          && (!is_first_try (self) || waited + self->placement.expected > self->route->objective);
 }
 
@@ -184,19 +187,19 @@
   if (self->workspace != NULL && self->workspace->priority >= 0)
     priority = (guint)self->workspace->priority;
   if (is_late (self))
-    return MIN (URGENCY_LATE + priority, URGENCY_MOST);
-  return MIN (priority, URGENCY_USUAL_MOST);
+    return MIN (URGENCY_LATE + priority, URGENCY_MAX);
+  return MIN (priority, URGENCY_ON_TIME_MAX);
 }
 
 static GString *
 write_head (SvRequest *self, const char *last_event)
 {
   SvDialect *dialect = self->core->parts.dialect;
-  SvHelper helpers[SV_HELPERS];
+  SvHelper helpers[SV_MAX_HELPERS];
   const HtMessage *request = ht_call_request (self->call);
   SvForward forward = {
     .request = request,
-    .ask = &self->ask,
+    .params = &self->params,
     .endpoint = self->placement.first,
     .workspace = self->workspace != NULL ? self->workspace->name : NULL,
     .left = self->deadline != KNL_NEVER ? self->deadline - sv_request_now (self) : 0,
@@ -231,7 +234,7 @@
     .body_length = request->body->len,
     .is_head = g_strcmp0 (request->method, "HEAD") == 0,
     .connect_timeout = CONNECT_TIMEOUT,
-    .max_idle = sv_route_is_idempotent (self->route) ? REUSE_IDLE : REUSE_IDLE_ONCE,
+    .max_idle = sv_route_is_idempotent (self->route) ? MAX_REUSE_IDLE : MAX_REUSE_IDLE_ONCE,
   };
 
   self->exchange = ht_client_send (self->core->parts.client, &exchange, &sv_request_events, self);
@@ -249,15 +252,15 @@
 
   for (guint i = 0; i < placement->n_helpers; i++)
     g_string_append_printf (helpers, "%s%s", i > 0 ? "," : "", placement->helpers[i]->id);
-  if (pol_limit_is_named (&endpoint->limit))
+  if (pol_limit_is_advertised (&endpoint->limit))
     limit = g_strdup_printf ("%.2f", endpoint->limit.rate);
-  cm_log (CM_LOG_INFO, "request-sent", "s", "request", self->ask.id, "s", "endpoint", endpoint->id,
-          "s", "helpers", helpers->str, "i", "send", (gint64)self->offers, "i", "prompt-tokens",
-          (gint64)self->ask.prompt_tokens, "i", "waited-us", self->sent_at - self->begun_at, "i",
-          "part-us", placement->part, "i", "expected-us", placement->expected, "i", "backlog-us",
-          placement->backlog, "i", "endpoint-calls", (gint64)load.calls, "i", "endpoint-tokens",
-          (gint64)load.tokens, "s", "endpoint-limit", limit, "b", "reserved",
-          self->reservation != NULL);
+  cm_log (CM_LOG_INFO, "request-sent", "s", "request", self->params.id, "s", "endpoint",
+          endpoint->id, "s", "helpers", helpers->str, "i", "send", (gint64)self->sends, "i",
+          "prompt-tokens", (gint64)self->params.prompt_tokens, "i", "waited-us",
+          self->sent_at - self->begun_at, "i", "part-us", placement->part, "i", "expected-us",
+          placement->expected, "i", "backlog-us", placement->backlog, "i", "endpoint-calls",
+          (gint64)load.calls, "i", "endpoint-tokens", (gint64)load.tokens, "s", "endpoint-limit",
+          limit, "b", "reserved", self->reservation != NULL);
 }
 
 /* Sends the request, which is placed and has its memory reserved. */
@@ -265,10 +268,10 @@
 launch (SvRequest *self)
 {
   char resumed[32];
-  const char *last_event = self->ask.last_event;
+  const char *last_event = self->params.last_event;
   GString *head;
 
-  sv_request_place_read (self);
+  sv_request_register_prefill (self);
   self->sent_at = sv_request_now (self);
   if (self->last_event >= 0)
     {
@@ -276,7 +279,7 @@
       last_event = resumed;
     }
   log_send (self);
-  if (pol_limit_is_named (&self->placement.first->limit))
+  if (pol_limit_is_advertised (&self->placement.first->limit))
     sv_meters_note_limited_send (self->core->meters, self->service->name);
   sv_request_charge (self, 1);
   head = write_head (self, last_event);
@@ -284,7 +287,7 @@
   g_string_free (head, TRUE);
   if (sv_route_is_idempotent (self->route))
     self->watch_timer =
-        knl_timer_start (self->core->parts.kernel, silence_limit (self), on_watch, self);
+        knl_timer_start (self->core->parts.kernel, silence_timeout (self), on_watch, self);
 }
 
 /* While the reservation was made, the endpoint advertised a Retry-After: places the request anew,
@@ -292,8 +295,8 @@
 static void
 place_again (SvRequest *self)
 {
-  sv_request_stop_send (self);
-  self->offers--;
+  sv_request_cancel_send (self);
+  self->sends--;
   sv_request_send (self);
 }
 
@@ -302,7 +305,7 @@
 {
   SvRequest *self = data;
 
-  if (ready && self->placement.first->rests_until > sv_request_now (self))
+  if (ready && self->placement.first->retry_after_until > sv_request_now (self))
     {
       place_again (self);
       return;
@@ -314,7 +317,7 @@
     }
   self->reservation = NULL;
   knl_timer_stop (self->core->parts.kernel, &self->hold_timer);
-  sv_request_take_loss (self, "no-memory", FALSE);
+  sv_request_handle_loss (self, "no-memory", FALSE);
 }
 
 /*
@@ -329,10 +332,10 @@
   gboolean was_sent = self->exchange != NULL;
 
   self->hold_timer = 0;
-  if (self->first_at > 0)
+  if (self->first_sent_at > 0)
     return;
-  sv_request_stop_send (self);
-  sv_request_take_loss (self, "memory-unused", was_sent);
+  sv_request_cancel_send (self);
+  sv_request_handle_loss (self, "memory-unused", was_sent);
 }
 
 static void
@@ -345,8 +348,8 @@
     .dialect = core->parts.dialect,
     .hold = sv_bounds_memory_lease (&core->bounds),
   };
-  SvEndpoint *endpoints[SV_HELPERS];
-  guint64 tokens[SV_HELPERS];
+  SvEndpoint *endpoints[SV_MAX_HELPERS];
+  guint64 tokens[SV_MAX_HELPERS];
   guint n = 0;
 
   for (guint i = 0; i < self->placement.n_helpers; i++)
@@ -360,7 +363,7 @@
     self->hold_timer = knl_timer_start (core->parts.kernel, sv_bounds_memory_hold (&core->bounds),
                                         on_hold_due, self);
   self->reservation =
-      sv_reservation_new (&parts, self->ask.id, endpoints, tokens, n, on_reserved, self);
+      sv_reservation_new (&parts, self->params.id, endpoints, tokens, n, on_reserved, self);
 }
 
 static gboolean
@@ -377,7 +380,7 @@
 /* A long prompt whose deadline comes before its prefill can end isn't sent: the prefill would take
  * seconds for nothing, at the cost of other requests. */
 static gboolean
-is_hopeless (const SvRequest *self)
+will_miss_deadline (const SvRequest *self)
 {
   return self->placement.is_split && self->deadline != KNL_NEVER
          && self->deadline - sv_request_now (self) < self->placement.expected;
@@ -408,7 +411,7 @@
 
   if (wait == 0)
     return FALSE;
-  wait += (KnlTime)(DEFER_SPREAD_PART * (double)self->route->objective
+  wait += (KnlTime)(DEFER_JITTER_FRACTION * (double)self->route->objective
                     * g_rand_double (knl_kernel_rand (kernel)));
   self->defer_timer = knl_timer_start (kernel, wait, on_defer_due, self);
   return TRUE;
@@ -417,17 +420,18 @@
 void
 sv_request_send (SvRequest *self)
 {
-  if (self->deadline != KNL_NEVER && self->deadline - sv_request_now (self) < LEAST_LEFT)
+  if (self->deadline != KNL_NEVER && self->deadline - sv_request_now (self) < MIN_TIME_LEFT)
     {
       sv_request_give_up (self, "no-time-left");
       return;
     }
   if (!place (self))
     {
-      sv_request_give_up (self, self->placement.limited > 0 ? "endpoints-limited" : "no-endpoint");
+      sv_request_give_up (self,
+                          self->placement.limit_wait > 0 ? "endpoints-limited" : "no-endpoint");
       return;
     }
-  if (is_hopeless (self))
+  if (will_miss_deadline (self))
     {
       sv_request_give_up (self, "too-little-time");
       return;
@@ -444,9 +448,9 @@
       sv_request_give_up (self, "no-memory");
       return;
     }
-  self->offers++;
+  self->sends++;
   self->sent_at = sv_request_now (self);
-  self->last_at = 0;
+  self->last_received_at = 0;
   sv_events_reset (&self->events);
   if (needs_reservation (self))
     reserve (self);
--- a/serve/stream.c
+++ b/serve/stream.c
@@ -16,7 +16,7 @@
 
   if (ht_call_has_begun (self->call))
     return;
-  self->first_at = now;
+  self->first_sent_at = now;
   sv_meters_note_prediction (self->core->meters, self->placement.expected, now - self->sent_at);
   ht_call_begin (self->call, 200, self->fields != NULL ? self->fields->str : NULL);
 }
@@ -26,20 +26,20 @@
 {
   KnlTime now = knl_kernel_now (self->core->parts.kernel);
 
-  if (self->event_at > 0)
-    self->longest_gap = MAX (self->longest_gap, now - self->event_at);
-  self->event_at = now;
+  if (self->last_event_at > 0)
+    self->longest_gap = MAX (self->longest_gap, now - self->last_event_at);
+  self->last_event_at = now;
 }
 
 /* The first event shows that the prefill of all parts is complete. */
 static void
-note_read (SvRequest *self)
+note_prefill_complete (SvRequest *self)
 {
-  if (!self->is_reading)
+  if (!self->is_prefilling)
     return;
   for (guint i = 0; i < self->placement.n_helpers; i++)
-    sv_endpoint_note_help (self->placement.helpers[i]);
-  sv_request_end_read (self);
+    sv_endpoint_note_helper_success (self->placement.helpers[i]);
+  sv_request_end_prefill (self);
 }
 
 static void
@@ -47,7 +47,7 @@
 {
   SvRequest *self = data;
 
-  note_read (self);
+  note_prefill_complete (self);
   /* A second run may repeat events that the first has already sent. */
   if (event->id >= 0 && event->id <= self->last_event)
     return;
@@ -59,10 +59,10 @@
 }
 
 void
-sv_request_take_bytes (SvRequest *self, const char *bytes, gsize length)
+sv_request_handle_bytes (SvRequest *self, const char *bytes, gsize length)
 {
-  self->last_at = knl_kernel_now (self->core->parts.kernel);
-  self->placement.first->heard_at = self->last_at;
+  self->last_received_at = knl_kernel_now (self->core->parts.kernel);
+  self->placement.first->last_seen_at = self->last_received_at;
   sv_events_feed (&self->events, bytes, length, on_event, self);
 }
 
--- a/tests/fakes/pass_engine.c
+++ b/tests/fakes/pass_engine.c
@@ -93,7 +93,7 @@
 
   for (guint i = 0; i < self->writers->len; i++)
     context += context_of (g_ptr_array_index (self->writers, i));
-  return self->spec->step_ms + self->writers->len * self->spec->writer_ms
+  return self->spec->step_ms + self->writers->len * self->spec->stream_step_ms
          + context / 1000 * self->spec->context_ms_per_k;
 }
 
@@ -179,7 +179,8 @@
 {
   guint n = request->demand.n_helpers + 1;
   double tokens = (double)request->demand.prompt_tokens / n;
-  double ms = sv_model_read_ms (request->engine->spec, (double)request->demand.prompt_tokens) / n;
+  double ms =
+      sv_model_prefill_ms (request->engine->spec, (double)request->demand.prompt_tokens) / n;
 
   request->unread = n;
   for (guint i = 0; i < n; i++)
--- a/tests/fakes/row_store.c
+++ b/tests/fakes/row_store.c
@@ -148,7 +148,7 @@
 }
 
 static void
-take_feed (RowStore *self, HtCall *call)
+handle_feed (RowStore *self, HtCall *call)
 {
   g_autofree char *after = ht_message_query (ht_call_request (call), "after");
   g_autofree char *wait = ht_message_query (ht_call_request (call), "waitMs");
@@ -232,7 +232,7 @@
 }
 
 static void
-take_transaction (RowStore *self, HtCall *call)
+handle_transaction (RowStore *self, HtCall *call)
 {
   const GString *body = ht_call_request (call)->body;
   json_t *transaction = json_loadb (body->str, body->len, 0, NULL);
@@ -249,7 +249,7 @@
 
 /* Whether the page's last row is the table's last one. */
 static gboolean
-ends_with_last (const RowStore *self, const char *table, json_t *page)
+ends_at_last_row (const RowStore *self, const char *table, json_t *page)
 {
   const char *last = text_of (json_array_get (page, json_array_size (page) - 1), "key");
 
@@ -269,9 +269,9 @@
   return strcmp (text_of (*(json_t *const *)a, "key"), text_of (*(json_t *const *)b, "key"));
 }
 
-/* At most `most` rows in the order of their keys, from the key `from` on. Releases `rows`. */
+/* At most `max_rows` rows in the order of their keys, from the key `from` on. Releases `rows`. */
 static json_t *
-page_of (json_t *rows, const char *from, guint most)
+page_of (json_t *rows, const char *from, guint max_rows)
 {
   g_autoptr (GPtrArray) sorted = g_ptr_array_new ();
   json_t *page = json_array ();
@@ -280,7 +280,7 @@
 
   json_array_foreach (rows, i, row) g_ptr_array_add (sorted, row);
   g_ptr_array_sort (sorted, compare_keys);
-  for (guint j = 0; j < sorted->len && json_array_size (page) < most; j++)
+  for (guint j = 0; j < sorted->len && json_array_size (page) < max_rows; j++)
     {
       row = g_ptr_array_index (sorted, j);
       if (from == NULL || strcmp (text_of (row, "key"), from) >= 0)
@@ -291,7 +291,7 @@
 }
 
 static void
-take_list (RowStore *self, HtCall *call)
+handle_list (RowStore *self, HtCall *call)
 {
   g_autofree char *table = ht_message_query (ht_call_request (call), "table");
   g_autofree char *from = ht_message_query (ht_call_request (call), "from");
@@ -304,7 +304,7 @@
   /* Each page begins with the last row of the one before; `morePages` is set while rows follow. */
   answer (self, call, rows,
           self->page > 0 && json_array_size (rows) == self->page && before > self->page
-              && !ends_with_last (self, table, rows));
+              && !ends_at_last_row (self, table, rows));
 }
 
 static void
@@ -327,15 +327,15 @@
       break;
     }
   if (g_str_has_prefix (ht_call_request (call)->target, "/rows-feed"))
-    take_feed (self, call);
+    handle_feed (self, call);
   else if (g_str_has_prefix (ht_call_request (call)->target, "/rows-tx"))
-    take_transaction (self, call);
+    handle_transaction (self, call);
   else
-    take_list (self, call);
+    handle_list (self, call);
 }
 
 static void
-on_gone (HtCall *call, gpointer data)
+on_disconnected (HtCall *call, gpointer data)
 {
   RowStore *self = data;
 
@@ -346,7 +346,7 @@
     }
 }
 
-static const HtServerEvents events = { .request = on_request, .gone = on_gone };
+static const HtServerEvents events = { .request = on_request, .disconnected = on_disconnected };
 
 RowStore *
 row_store_new (KnlKernel *kernel, struct event_base *base)
@@ -357,7 +357,7 @@
     .request_timeout = 10 * KNL_SEC,
     .idle_timeout = 100 * KNL_SEC,
     .max_connections = 1024,
-    .max_unsent = HT_UNSENT_BYTES,
+    .max_unsent = HT_DEFAULT_MAX_UNSENT,
   };
   RowStore *self = g_new0 (RowStore, 1);
 
@@ -472,7 +472,7 @@
 }
 
 void
-row_store_return_to (RowStore *self, guint64 version)
+row_store_restore (RowStore *self, guint64 version)
 {
   GPtrArray *log = g_steal_pointer (&self->log);
 
@@ -507,7 +507,7 @@
 }
 
 void
-row_store_forget_history (RowStore *self)
+row_store_truncate_history (RowStore *self)
 {
   self->history_from = ++self->version;
 }
--- a/tests/fakes/row_store.h
+++ b/tests/fakes/row_store.h
@@ -47,12 +47,12 @@
 
 /** Restores the store to the state at `version`, in the next era; later versions are assigned
  * again. Connections of waiting feeds are closed. */
-void row_store_return_to (RowStore *store, guint64 version);
+void row_store_restore (RowStore *store, guint64 version);
 
 void row_store_set_mode (RowStore *store, RowStoreMode mode);
 
 /** Requests for changes from before now are answered with 410 from now on. */
-void row_store_forget_history (RowStore *store);
+void row_store_truncate_history (RowStore *store);
 
 /** Calls of all kinds, including those that weren't served. */
 guint row_store_n_calls (const RowStore *store);
--- a/tests/faults/gateway_test.c
+++ b/tests/faults/gateway_test.c
@@ -29,7 +29,7 @@
   "GET /a/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\nX-Deadline-Ms: 20000\r\n"                   \
   "Authorization: Bearer key\r\n"
 
-static const ScriptedAnswer good = {
+static const ScriptedAnswer good_answer = {
   "HTTP/1.1 200 OK\r\nX-Attempt-Id: %ID\r\nX-Server-Stamp: s\r\nContent-Length: 4\r\n\r\ngood",
   FALSE
 };
@@ -87,7 +87,7 @@
   *self = (Fixture){ .harness = hn_harness_new () };
   self->client = ht_client_new (self->harness->kernel, self->harness->base, &limits, 10 * KNL_SEC);
   self->store = row_store_new (self->harness->kernel, self->harness->base);
-  self->endpoint = scripted_endpoint_new (self->harness->base, &good, 1);
+  self->endpoint = scripted_endpoint_new (self->harness->base, &good_answer, 1);
   self->callers = hn_address_new (self->harness);
   self->ready = hn_address_new (self->harness);
   self->directory = hn_address_new (self->harness);
@@ -132,7 +132,7 @@
 static HtHeadVerdict
 on_head (HtExchange *exchange, HtMessage *answer, gpointer data)
 {
-  return HT_HEAD_TAKE;
+  return HT_HEAD_ACCEPT;
 }
 
 static void
@@ -159,7 +159,7 @@
 }
 
 static guint
-ask (Fixture *self)
+send_request (Fixture *self)
 {
   HtExchangeRequest request = { .address = self->callers,
                                 .head = REQUEST_HEAD,
@@ -185,20 +185,20 @@
 
   fixture_open (&fixture);
   CU_ASSERT_TRUE (hn_await_status (fixture.harness, fixture.ready, "/ready", 503));
-  CU_ASSERT_EQUAL (ask (&fixture), 503);
+  CU_ASSERT_EQUAL (send_request (&fixture), 503);
   fill_store (&fixture);
   CU_ASSERT_TRUE (hn_await_status (fixture.harness, fixture.ready, "/ready", 200));
   await_event (&fixture, "endpoint-listed");
-  CU_ASSERT_EQUAL (ask (&fixture), 200);
+  CU_ASSERT_EQUAL (send_request (&fixture), 200);
   write_settings (&fixture, "{\"nodeName\":7}");
   hn_signal (fixture.process, SIGHUP);
   await_event (&fixture, "settings-refused");
-  CU_ASSERT_EQUAL (ask (&fixture), 200);
+  CU_ASSERT_EQUAL (send_request (&fixture), 200);
   changed = settings_with_bound (&fixture, 50000);
   write_settings (&fixture, changed);
   hn_signal (fixture.process, SIGHUP);
   await_event (&fixture, "settings-reloaded");
-  CU_ASSERT_EQUAL (ask (&fixture), 200);
+  CU_ASSERT_EQUAL (send_request (&fixture), 200);
   CU_ASSERT_TRUE (hn_await_status (fixture.harness, fixture.directory, "/resolve?zone=a", 200));
   hn_signal (fixture.process, SIGTERM);
   CU_ASSERT_EQUAL (hn_await_exit (fixture.process, HN_LIMIT), 0);
@@ -219,17 +219,17 @@
   hn_signal (fixture.process, SIGTERM);
   CU_ASSERT_TRUE (hn_await_status (fixture.harness, fixture.ready, "/ready", 503));
   CU_ASSERT_TRUE (hn_await_status (fixture.harness, fixture.directory, "/resolve?zone=a", 503));
-  CU_ASSERT_EQUAL (ask (&fixture), 200);
+  CU_ASSERT_EQUAL (send_request (&fixture), 200);
   CU_ASSERT_EQUAL (hn_await_exit (fixture.process, HN_LIMIT), 0);
   fixture_close (&fixture);
 }
 
 /* Shorter than the interval at which instances read the list of members, and notice that their own
  * row is missing. */
-#define BEFORE_LOOK (15 * KNL_SEC)
+#define REGISTER_TIMEOUT (15 * KNL_SEC)
 
 static gboolean
-is_entered (gpointer data)
+is_registered (gpointer data)
 {
   return row_store_has (((Fixture *)data)->store, "instances", "n1");
 }
@@ -246,14 +246,14 @@
   row_store_set_era (fixture.store, 0);
   version = row_store_version (fixture.store);
   fill_store (&fixture);
-  CU_ASSERT_TRUE (hn_await (fixture.harness, HN_LIMIT, is_entered, &fixture));
+  CU_ASSERT_TRUE (hn_await (fixture.harness, HN_LIMIT, is_registered, &fixture));
   CU_ASSERT_TRUE (hn_await_status (fixture.harness, fixture.ready, "/ready", 200));
-  row_store_return_to (fixture.store, version);
-  CU_ASSERT_FALSE (is_entered (&fixture));
+  row_store_restore (fixture.store, version);
+  CU_ASSERT_FALSE (is_registered (&fixture));
   fill_store (&fixture);
-  CU_ASSERT_TRUE (hn_await (fixture.harness, BEFORE_LOOK, is_entered, &fixture));
+  CU_ASSERT_TRUE (hn_await (fixture.harness, REGISTER_TIMEOUT, is_registered, &fixture));
   CU_ASSERT_TRUE (hn_await_status (fixture.harness, fixture.ready, "/ready", 200));
-  CU_ASSERT_EQUAL (ask (&fixture), 200);
+  CU_ASSERT_EQUAL (send_request (&fixture), 200);
   fixture_close (&fixture);
 }
 
--- a/tests/fuzz/targets.c
+++ b/tests/fuzz/targets.c
@@ -67,11 +67,11 @@
 run_request (const guint8 *bytes, gsize length)
 {
   g_autoptr (HtMessage) message = read_message (FALSE, bytes, length);
-  SvAsk ask;
+  SvRequestParams params;
 
   if (message == NULL)
     return;
-  dialect->klass->read_ask (dialect, message, &ask);
+  dialect->klass->read_request (dialect, message, &params);
   g_free (ht_message_path (message));
   g_free (ht_message_query (message, "zone"));
 }
@@ -153,7 +153,7 @@
 static void
 run_datagram (const guint8 *bytes, gsize length)
 {
-  sv_peers_take_bytes (peers, bytes, length);
+  sv_peers_receive_bytes (peers, bytes, length);
 }
 
 static void
--- a/tests/soak/era_return.c
+++ b/tests/soak/era_return.c
@@ -180,7 +180,7 @@
   fleet.version = "2";
   hn_await (fleet.harness, HN_LIMIT, all_run, &fleet);
   hn_pass (fleet.harness, SETTLES);
-  row_store_return_to (fleet.store, copy);
+  row_store_restore (fleet.store, copy);
   measure (&fleet, knl_kernel_now (fleet.harness->kernel));
   for (guint i = 0; i < fleet.n; i++)
     {
--- a/tests/soak/gateway_soak.c
+++ b/tests/soak/gateway_soak.c
@@ -98,7 +98,7 @@
 static HtHeadVerdict
 on_head (HtExchange *exchange, HtMessage *answer, gpointer data)
 {
-  return HT_HEAD_TAKE;
+  return HT_HEAD_ACCEPT;
 }
 
 static void
--- a/tests/soak/gateway_soak_endpoints.c
+++ b/tests/soak/gateway_soak_endpoints.c
@@ -192,7 +192,8 @@
     work_free (ht_call_data (call));
 }
 
-static const HtServerEvents desk_events = { .request = on_desk_request, .gone = on_desk_gone };
+static const HtServerEvents desk_events = { .request = on_desk_request,
+                                            .disconnected = on_desk_gone };
 
 void
 gs_start_desk (Soak *self, guint i)
@@ -203,7 +204,7 @@
     .request_timeout = 5 * KNL_SEC,
     .idle_timeout = 20 * KNL_SEC,
     .max_connections = 100,
-    .max_unsent = HT_UNSENT_BYTES,
+    .max_unsent = HT_DEFAULT_MAX_UNSENT,
   };
   const char *own = hn_address_new (self->harness);
   const char *listed = own;
--- a/tests/soak/gateway_soak_faults.c
+++ b/tests/soak/gateway_soak_faults.c
@@ -48,7 +48,7 @@
 static void
 fault_history (Soak *self, Gateway *gateway)
 {
-  row_store_forget_history (self->store);
+  row_store_truncate_history (self->store);
 }
 
 /* It comes back from a copy of up to three seconds before. */
@@ -59,7 +59,7 @@
   guint64 version = g_array_index (self->versions, guint64,
                                    self->versions->len - MIN (steps, self->versions->len));
 
-  row_store_return_to (self->store, version);
+  row_store_restore (self->store, version);
   self->written_at = gs_now (self) + g_rand_int_range (self->rand, 0, WRITTEN_WITHIN_MS) * KNL_MSEC;
 }
 
--- a/tests/unit/en_framing_test.c
+++ b/tests/unit/en_framing_test.c
@@ -15,7 +15,7 @@
 #include "tests/unit/en_test_uplink.h"
 
 /* Only a stop against hanging, on the machine's clock. */
-#define STUCK_S 20
+#define TEST_TIMEOUT_S 20
 
 #define MAX_BODY 1000
 #define MAX_HEAD 2000
@@ -23,7 +23,7 @@
 typedef struct
 {
   struct event_base *base;
-  struct event *stuck;
+  struct event *test_timeout;
   KnlPausedClock *clock;
   KnlKernel *kernel;
   EnTestUplink uplink;
@@ -38,9 +38,9 @@
 } Site;
 
 static void
-on_stuck (evutil_socket_t fd, short what, void *data)
+on_test_timeout (evutil_socket_t fd, short what, void *data)
 {
-  g_error ("nothing came for %d s", STUCK_S);
+  g_error ("nothing came for %d s", TEST_TIMEOUT_S);
 }
 
 static void
@@ -92,13 +92,13 @@
   static const EnFrontSettings front = {
     .address = "127.0.0.1", .max_body = MAX_BODY, .max_headers = MAX_HEAD, .max_unread = 100000
   };
-  struct timeval limit = { .tv_sec = STUCK_S };
+  struct timeval limit = { .tv_sec = TEST_TIMEOUT_S };
   Site *self = g_new0 (Site, 1);
   EnCoreParts parts;
 
   self->base = event_base_new ();
-  self->stuck = evtimer_new (self->base, on_stuck, NULL);
-  evtimer_add (self->stuck, &limit);
+  self->test_timeout = evtimer_new (self->base, on_test_timeout, NULL);
+  evtimer_add (self->test_timeout, &limit);
   self->clock = knl_paused_clock_new ();
   knl_paused_clock_advance (self->clock, 100 * KNL_SEC);
   self->kernel = knl_kernel_new (knl_paused_clock_runtime (self->clock), 1);
@@ -126,7 +126,7 @@
   knl_kernel_free (self->kernel);
   knl_paused_clock_free (self->clock);
   en_test_uplink_clear (&self->uplink);
-  event_free (self->stuck);
+  event_free (self->test_timeout);
   event_base_free (self->base);
   g_string_free (self->got, TRUE);
   g_free (self);
--- a/tests/unit/peers_fixture.c
+++ b/tests/unit/peers_fixture.c
@@ -2,11 +2,11 @@
 
 #include <CUnit/CUnit.h>
 
-#define STUCK_S  20
-#define STRENGTH 100
+#define TEST_TIMEOUT_S 20
+#define STRENGTH       100
 
 static void
-on_stuck (evutil_socket_t fd, short what, void *data)
+on_test_timeout (evutil_socket_t fd, short what, void *data)
 {
   g_error ("the test timed out");
 }
@@ -67,7 +67,7 @@
 void
 peers_fixture_open (PeersFixture *self, const char *const *zones, guint n, guint n_endpoints)
 {
-  struct timeval limit = { .tv_sec = STUCK_S };
+  struct timeval limit = { .tv_sec = TEST_TIMEOUT_S };
 
   *self = (PeersFixture){ .base = event_base_new (),
                           .clock = knl_paused_clock_new (),
@@ -75,8 +75,8 @@
                           .n_endpoints = n_endpoints,
                           .zones = zones,
                           .incarnation = 9 };
-  self->stuck = evtimer_new (self->base, on_stuck, NULL);
-  evtimer_add (self->stuck, &limit);
+  self->test_timeout = evtimer_new (self->base, on_test_timeout, NULL);
+  evtimer_add (self->test_timeout, &limit);
   knl_paused_clock_advance (self->clock, 10 * KNL_SEC);
   self->kernel = knl_kernel_new (knl_paused_clock_runtime (self->clock), 5);
   for (guint i = 0; i < n; i++)
@@ -96,25 +96,25 @@
     }
   knl_kernel_free (self->kernel);
   knl_paused_clock_free (self->clock);
-  event_free (self->stuck);
+  event_free (self->test_timeout);
   event_base_free (self->base);
 }
 
 void
-peers_fixture_pass (PeersFixture *self, KnlTime time)
+peers_fixture_advance (PeersFixture *self, KnlTime time)
 {
   static const KnlTime step = 1 * KNL_MSEC;
 
   for (KnlTime passed = 0; passed < time; passed += step)
     {
       knl_paused_clock_advance (self->clock, step);
-      for (guint turn = 0; turn < 2 * self->n; turn++)
+      for (guint iteration = 0; iteration < 2 * self->n; iteration++)
         event_base_loop (self->base, EVLOOP_NONBLOCK);
     }
 }
 
 void
-peers_fixture_learn (PeersFixture *self, guint i, guint j)
+peers_fixture_discover (PeersFixture *self, guint i, guint j)
 {
   g_autofree char *name = g_strdup_printf ("n%u", j);
   SvMember member = { .name = name,
@@ -122,16 +122,16 @@
                       .zone = self->zones[j],
                       .strength = self->strength[j] };
 
-  sv_peers_learn (self->peers[i], &member);
+  sv_peers_discover (self->peers[i], &member);
 }
 
 void
-peers_fixture_meet (PeersFixture *self)
+peers_fixture_connect (PeersFixture *self)
 {
   for (guint i = 1; i < self->n; i++)
     for (guint j = 0; j < i; j++)
-      peers_fixture_learn (self, i, j);
-  peers_fixture_pass (self, 2 * PEERS_BEAT + PEERS_ACROSS);
+      peers_fixture_discover (self, i, j);
+  peers_fixture_advance (self, 2 * PEERS_HEARTBEAT_INTERVAL + PEERS_PROPAGATION_TIME);
   for (guint i = 0; i < self->n; i++)
     CU_ASSERT_EQUAL_FATAL (sv_peers_n_alive (self->peers[i]), self->n - 1);
 }
--- a/tests/unit/peers_fixture.h
+++ b/tests/unit/peers_fixture.h
@@ -5,26 +5,26 @@
 #include "kernel/paused.h"
 #include "serve/peers.h"
 
-#define PEERS_MOST 8
+#define MAX_PEERS 8
 
 /* Time within which a change at one instance is known in all cells; after a lost datagram it takes
  * another heartbeat. */
-#define PEERS_ACROSS (20 * KNL_MSEC)
-#define PEERS_BEAT   (400 * KNL_MSEC)
+#define PEERS_PROPAGATION_TIME   (20 * KNL_MSEC)
+#define PEERS_HEARTBEAT_INTERVAL (400 * KNL_MSEC)
 
 typedef struct
 {
   struct event_base *base;
-  struct event *stuck;
+  struct event *test_timeout;
   KnlPausedClock *clock;
   KnlKernel *kernel;
   guint n;
   guint n_endpoints;
-  const char *const *zones;   /* zone of each instance */
-  guint strength[PEERS_MOST]; /* of each instance; change it before starting one again */
-  SvFleet *fleets[PEERS_MOST];
-  SvPeers *peers[PEERS_MOST];
-  char *links[PEERS_MOST];
+  const char *const *zones;  /* zone of each instance */
+  guint strength[MAX_PEERS]; /* of each instance; change it before starting one again */
+  SvFleet *fleets[MAX_PEERS];
+  SvPeers *peers[MAX_PEERS];
+  char *links[MAX_PEERS];
   guint64 suspect;     /* fingerprint that any instance last received from a peer */
   guint64 incarnation; /* of instances that are started */
 } PeersFixture;
@@ -41,13 +41,13 @@
 void peers_fixture_stop (PeersFixture *self, guint i);
 
 /** Instance `i` discovers instance `j`, as from its row in the store. */
-void peers_fixture_learn (PeersFixture *self, guint i, guint j);
+void peers_fixture_discover (PeersFixture *self, guint i, guint j);
 
 /** Each instance discovers those before it, and time passes until the cells know of each other. */
-void peers_fixture_meet (PeersFixture *self);
+void peers_fixture_connect (PeersFixture *self);
 
 /** Advances the clock in small steps; all datagrams are delivered in each. */
-void peers_fixture_pass (PeersFixture *self, KnlTime time);
+void peers_fixture_advance (PeersFixture *self, KnlTime time);
 
 /** The last of the endpoints, in the fleet of instance `i`. */
 SvEndpoint *peers_fixture_endpoint (PeersFixture *self, guint i);
--- a/tests/unit/pl_decode_test.c
+++ b/tests/unit/pl_decode_test.c
@@ -61,7 +61,7 @@
 
 /* A copy of `text` with the first `old` replaced. */
 static char *
-with (const char *text, const char *old, const char *new)
+replace_first (const char *text, const char *old, const char *new)
 {
   const char *at = strstr (text, old);
 
@@ -106,7 +106,8 @@
 static void
 test_unchanged_routes_are_taken_over (void)
 {
-  g_autofree char *changed = with (config_text, "\"timeoutMs\":1000,", "\"timeoutMs\":900,");
+  g_autofree char *changed =
+      replace_first (config_text, "\"timeoutMs\":1000,", "\"timeoutMs\":900,");
   PlConfigDecoder *decoder = pl_config_decoder_new ();
   SvConfig *before = decode_by (decoder, config_text, 100);
   const SvRoute *kept = sv_config_route (before, "h.example", "/a/1");
@@ -130,7 +131,7 @@
 static void
 test_broken_config (void)
 {
-  g_autofree char *next = with (config_text, "\"version\":7", "\"version\":8");
+  g_autofree char *next = replace_first (config_text, "\"version\":7", "\"version\":8");
   PlConfigDecoder *decoder = pl_config_decoder_new ();
   g_autoptr (SvConfig) first = decode_by (decoder, config_text, 64);
   g_autoptr (SvConfig) last = NULL;
@@ -173,7 +174,7 @@
   CU_ASSERT_EQUAL (answer->version, 9);
   CU_ASSERT_TRUE (answer->more_pages);
   CU_ASSERT_STRING_EQUAL (first->value, "eyJ2IjoiPz8/In0=");
-  CU_ASSERT_TRUE (second->gone);
+  CU_ASSERT_TRUE (second->removed);
   CU_ASSERT_EQUAL (second->version, 4);
   CU_ASSERT_NSTRING_EQUAL (kept, "{\"key\":\"b\",\"ver\":4,\"tombstone\":true}", length);
   pl_row_decode (first, &row);
@@ -284,12 +285,12 @@
 forward_of (HtMessage *request, const SvEndpoint *endpoint)
 {
   SvDialect *dialect = pl_dialect_new ();
-  SvAsk ask;
+  SvRequestParams params;
   GString *head;
   SvHelper helpers[] = { { .endpoint = endpoint, .reservation = "t1" }, { .endpoint = endpoint } };
   SvForward forward = {
     .request = request,
-    .ask = &ask,
+    .params = &params,
     .endpoint = endpoint,
     .workspace = "w",
     .left = 1500 * KNL_MSEC,
@@ -299,11 +300,11 @@
     .urgency = 4,
   };
 
-  dialect->klass->read_ask (dialect, request, &ask);
-  CU_ASSERT_STRING_EQUAL (ask.key, "secret");
-  CU_ASSERT_EQUAL (ask.prompt_tokens, 1460);
-  CU_ASSERT_EQUAL (ask.answer_tokens, 80);
-  CU_ASSERT_EQUAL (ask.limit, 2 * KNL_SEC);
+  dialect->klass->read_request (dialect, request, &params);
+  CU_ASSERT_STRING_EQUAL (params.key, "secret");
+  CU_ASSERT_EQUAL (params.prompt_tokens, 1460);
+  CU_ASSERT_EQUAL (params.answer_tokens, 80);
+  CU_ASSERT_EQUAL (params.limit, 2 * KNL_SEC);
   head = dialect->klass->write_forward (dialect, &forward);
   pl_dialect_free (dialect);
   return head;
--- a/tests/unit/pl_era_test.c
+++ b/tests/unit/pl_era_test.c
@@ -11,8 +11,8 @@
     const char *value; /* NULL: there is no such field */
     guint64 era;
   } rows[] = {
-    { "0", PL_ERA_FIRST },
-    { "7", PL_ERA_FIRST + 7 },
+    { "0", PL_ERA_OFFSET },
+    { "7", PL_ERA_OFFSET + 7 },
     { NULL, 0 },
     { "", 0 },
     { "-1", 0 },
--- a/tests/unit/pl_mirror_test.c
+++ b/tests/unit/pl_mirror_test.c
@@ -9,16 +9,16 @@
 #include "suite.h"
 #include "tests/fakes/row_store.h"
 
-#define WAIT    (2 * KNL_SEC)
-#define GATHER  (100 * KNL_MSEC)
-#define STEP    (10 * KNL_MSEC)
-#define STUCK_S 20
+#define WAIT           (2 * KNL_SEC)
+#define COALESCE_DELAY (100 * KNL_MSEC)
+#define STEP           (10 * KNL_MSEC)
+#define TEST_TIMEOUT_S 20
 
 /* A long value. Its answer is twice as long as text, and more than half of it packed. */
 #define LARGE_BYTES ((gsize)256 << 10)
 
 /* Time within which a change passes the store's feed and the mirror's. */
-#define PASSED (3 * GATHER)
+#define PROPAGATION_TIME (3 * COALESCE_DELAY)
 
 /** A feed and the rows that it has delivered. */
 typedef struct
@@ -27,13 +27,13 @@
   GHashTable *seen; /* key -> value as text */
   PlMirror *mirror; /* notified of changes; NULL: none */
   guint n_lists;
-  guint n_lost;
+  guint n_unavailable;
 } Follower;
 
 typedef struct
 {
   struct event_base *base;
-  struct event *stuck;
+  struct event *test_timeout;
   KnlPausedClock *clock;
   KnlKernel *kernel;
   HtClient *client;
@@ -47,7 +47,7 @@
 } Fixture;
 
 static void
-on_stuck (evutil_socket_t fd, short what, void *data)
+on_test_timeout (evutil_socket_t fd, short what, void *data)
 {
   g_error ("the test makes no progress");
 }
@@ -71,7 +71,7 @@
 {
   Follower *self = data;
 
-  if (row->gone)
+  if (row->removed)
     g_hash_table_remove (self->seen, row->key);
   else
     g_hash_table_insert (self->seen, g_strdup (row->key),
@@ -84,13 +84,13 @@
   Follower *self = data;
 
   if (self->mirror != NULL)
-    pl_mirror_tell (self->mirror);
+    pl_mirror_notify (self->mirror);
 }
 
 static void
-on_lost (gpointer data)
+on_unavailable (gpointer data)
 {
-  ((Follower *)data)->n_lost++;
+  ((Follower *)data)->n_unavailable++;
 }
 
 static const PlFeedEvents events = {
@@ -98,10 +98,10 @@
   .end_list = on_end_list,
   .row = on_row,
   .confirmed = on_confirmed,
-  .lost = on_lost,
+  .unavailable = on_unavailable,
 };
 
-static const PlFeedPace pace = { .wait = WAIT, .gather = GATHER };
+static const PlFeedPace pace = { .wait = WAIT, .coalesce_delay = COALESCE_DELAY };
 
 static void
 follower_open (Follower *self, PlStore *store)
@@ -115,12 +115,12 @@
 {
   static const HtLimits limits = { 16384, 1 << 20 };
   static guint port = 27000;
-  struct timeval limit = { .tv_sec = STUCK_S };
+  struct timeval limit = { .tv_sec = TEST_TIMEOUT_S };
   g_autofree char *address = NULL;
 
   *self = (Fixture){ .base = event_base_new (), .clock = knl_paused_clock_new () };
-  self->stuck = evtimer_new (self->base, on_stuck, NULL);
-  evtimer_add (self->stuck, &limit);
+  self->test_timeout = evtimer_new (self->base, on_test_timeout, NULL);
+  evtimer_add (self->test_timeout, &limit);
   knl_paused_clock_advance (self->clock, 10 * KNL_SEC);
   self->kernel = knl_kernel_new (knl_paused_clock_runtime (self->clock), 5);
   self->client = ht_client_new (self->kernel, self->base, &limits, 60 * KNL_SEC);
@@ -157,17 +157,17 @@
   row_store_free (self->rows);
   knl_kernel_free (self->kernel);
   knl_paused_clock_free (self->clock);
-  event_free (self->stuck);
+  event_free (self->test_timeout);
   event_base_free (self->base);
 }
 
 /* Advances the clock in steps, and delivers everything sent within each step. */
 static void
-pass (Fixture *self, KnlTime time)
+advance (Fixture *self, KnlTime time)
 {
   for (KnlTime passed = 0; passed < time; passed += STEP)
     {
-      for (guint turn = 0; turn < 20; turn++)
+      for (guint iteration = 0; iteration < 20; iteration++)
         event_base_loop (self->base, EVLOOP_NONBLOCK);
       knl_paused_clock_advance (self->clock, STEP);
     }
@@ -187,17 +187,17 @@
 
   fixture_open (&fixture);
   pl_mirror_set_open (fixture.mirror, TRUE);
-  pass (&fixture, PASSED);
+  advance (&fixture, PROPAGATION_TIME);
   check_value (&fixture.second, "a", "1");
   row_store_put (fixture.rows, "a", "{\"v\":\"2\"}");
   row_store_put (fixture.rows, "b", NULL);
-  pass (&fixture, PASSED);
+  advance (&fixture, PROPAGATION_TIME);
   check_value (&fixture.second, "a", "2");
   check_value (&fixture.second, "b", NULL);
   /* Only one list was read from the store. */
-  pass (&fixture, 3 * WAIT);
+  advance (&fixture, 3 * WAIT);
   CU_ASSERT_EQUAL (row_store_n_lists (fixture.rows), 1);
-  CU_ASSERT_EQUAL (fixture.second.n_lost, 0);
+  CU_ASSERT_EQUAL (fixture.second.n_unavailable, 0);
   fixture_close (&fixture);
 }
 
@@ -213,14 +213,14 @@
 
   fixture_open (&fixture);
   pl_mirror_set_open (fixture.mirror, TRUE);
-  pass (&fixture, PASSED);
+  advance (&fixture, PROPAGATION_TIME);
   /* After a change the feed delays its next poll, so it doesn't receive the following changes. */
   row_store_put (fixture.rows, "a", "{\"v\":\"2\"}");
-  pass (&fixture, STEP);
+  advance (&fixture, STEP);
   row_store_put (fixture.rows, "b", NULL);
   row_store_put (fixture.rows, "c", "{\"v\":\"3\"}");
-  row_store_forget_history (fixture.rows);
-  pass (&fixture, 2 * WAIT);
+  row_store_truncate_history (fixture.rows);
+  advance (&fixture, 2 * WAIT);
   CU_ASSERT_EQUAL (fixture.first.n_lists, 2);
   check_value (&fixture.second, "b", NULL);
   check_value (&fixture.second, "c", "3");
@@ -234,27 +234,27 @@
  * request, although only later changes were requested.
  */
 static void
-test_an_asker_may_know_more (void)
+test_client_with_newer_rows (void)
 {
   Fixture fixture;
 
   fixture_open (&fixture);
   pl_mirror_set_open (fixture.mirror, TRUE);
-  pass (&fixture, PASSED);
+  advance (&fixture, PROPAGATION_TIME);
   /* Only the second feed receives the change. */
   pl_feed_set_source (fixture.second.feed, fixture.store);
   pl_feed_set_source (fixture.first.feed, fixture.peer);
   pl_mirror_set_open (fixture.mirror, FALSE);
   row_store_put (fixture.rows, "a", "{\"v\":\"2\"}");
-  pass (&fixture, PASSED);
+  advance (&fixture, PROPAGATION_TIME);
   check_value (&fixture.second, "a", "2");
   check_value (&fixture.first, "a", "1");
   pl_mirror_set_open (fixture.mirror, TRUE);
   row_store_set_mode (fixture.rows, ROW_STORE_SILENT);
   pl_feed_set_source (fixture.first.feed, fixture.store);
   pl_feed_set_source (fixture.second.feed, fixture.peer);
-  pass (&fixture, WAIT / 2);
-  CU_ASSERT_EQUAL (fixture.second.n_lost, 0);
+  advance (&fixture, WAIT / 2);
+  CU_ASSERT_EQUAL (fixture.second.n_unavailable, 0);
   check_value (&fixture.second, "a", "2");
   fixture_close (&fixture);
 }
@@ -264,18 +264,18 @@
  * requests although its own feeds don't follow the store.
  */
 static void
-test_who_asks_others_answers_nobody (void)
+test_mirror_not_following_the_store_refuses (void)
 {
   Fixture fixture;
 
   fixture_open (&fixture);
   pl_mirror_set_open (fixture.mirror, TRUE);
-  pass (&fixture, PASSED);
-  CU_ASSERT_EQUAL (fixture.second.n_lost, 0);
+  advance (&fixture, PROPAGATION_TIME);
+  CU_ASSERT_EQUAL (fixture.second.n_unavailable, 0);
   pl_mirror_set_open (fixture.mirror, FALSE);
-  pass (&fixture, STEP);
+  advance (&fixture, STEP);
   /* The waiting request is refused at once too. */
-  CU_ASSERT (fixture.second.n_lost > 0);
+  CU_ASSERT (fixture.second.n_unavailable > 0);
   fixture_close (&fixture);
 }
 
@@ -290,17 +290,17 @@
   fixture_open (&fixture);
   row_store_set_era (fixture.rows, 1);
   pl_mirror_set_open (fixture.mirror, TRUE);
-  pass (&fixture, PASSED);
+  advance (&fixture, PROPAGATION_TIME);
   version = row_store_version (fixture.rows);
   row_store_put (fixture.rows, "c", "{\"v\":\"lost\"}");
-  pass (&fixture, PASSED);
+  advance (&fixture, PROPAGATION_TIME);
   check_value (&fixture.second, "c", "lost");
-  row_store_return_to (fixture.rows, version);
+  row_store_restore (fixture.rows, version);
   row_store_put (fixture.rows, "a", "{\"v\":\"2\"}");
-  pass (&fixture, 2 * WAIT);
+  advance (&fixture, 2 * WAIT);
   check_value (&fixture.second, "c", NULL);
   check_value (&fixture.second, "a", "2");
-  CU_ASSERT_EQUAL (pl_feed_position (fixture.second.feed).era, PL_ERA_FIRST + 2);
+  CU_ASSERT_EQUAL (pl_feed_position (fixture.second.feed).era, PL_ERA_OFFSET + 2);
   fixture_close (&fixture);
 }
 
@@ -309,18 +309,18 @@
 test_a_mirror_of_an_older_era_answers_nothing (void)
 {
   Fixture fixture;
-  guint lost;
+  guint unavailable;
 
   fixture_open (&fixture);
   row_store_set_era (fixture.rows, 1);
   pl_mirror_set_open (fixture.mirror, TRUE);
-  pass (&fixture, PASSED);
-  pl_store_note_era (fixture.peer, PL_ERA_FIRST + 2);
-  lost = fixture.second.n_lost;
+  advance (&fixture, PROPAGATION_TIME);
+  pl_store_note_era (fixture.peer, PL_ERA_OFFSET + 2);
+  unavailable = fixture.second.n_unavailable;
   pl_feed_note_era (fixture.second.feed);
   row_store_put (fixture.rows, "a", "{\"v\":\"2\"}");
-  pass (&fixture, 2 * WAIT);
-  CU_ASSERT (fixture.second.n_lost > lost);
+  advance (&fixture, 2 * WAIT);
+  CU_ASSERT (fixture.second.n_unavailable > unavailable);
   check_value (&fixture.first, "a", "2");
   check_value (&fixture.second, "a", "1");
   fixture_close (&fixture);
@@ -343,7 +343,7 @@
  * read it from the store at once; and against one that takes the whole bandwidth of a narrow link.
  */
 static void
-test_what_the_link_has_no_room_for_is_refused (void)
+test_answers_beyond_the_send_limit_are_refused (void)
 {
   static const struct
   {
@@ -363,15 +363,16 @@
       fixture_open (&fixture);
       follower_open (&third, fixture.peer);
       pl_mirror_set_open (fixture.mirror, TRUE);
-      pass (&fixture, PASSED);
-      pl_mirror_set_limit (fixture.mirror, rows[i].limit);
+      advance (&fixture, PROPAGATION_TIME);
+      pl_mirror_set_max_unsent (fixture.mirror, rows[i].limit);
       row_store_put (fixture.rows, "a", row);
-      pass (&fixture, PASSED);
-      CU_ASSERT_EQUAL ((fixture.second.n_lost == 0) + (third.n_lost == 0), rows[i].n_served);
+      advance (&fixture, PROPAGATION_TIME);
+      CU_ASSERT_EQUAL ((fixture.second.n_unavailable == 0) + (third.n_unavailable == 0),
+                       rows[i].n_served);
       /* A refused client turns to the store. */
       pl_feed_set_source (fixture.second.feed, fixture.store);
       pl_feed_set_source (third.feed, fixture.store);
-      pass (&fixture, PASSED);
+      advance (&fixture, PROPAGATION_TIME);
       check_value (&fixture.second, "a", text);
       check_value (&third, "a", text);
       pl_feed_free (third.feed);
@@ -382,7 +383,7 @@
 
 /* Guards against packed answers to instances of an earlier release, which can't unpack them. */
 static void
-test_who_does_not_unpack_gets_text (void)
+test_clients_without_packing_get_text (void)
 {
   g_autofree char *text = dense_text (LARGE_BYTES);
   g_autofree char *row = g_strdup_printf ("{\"v\":\"%s\"}", text);
@@ -392,9 +393,9 @@
   fixture_open (&fixture);
   follower_open (&third, fixture.plain);
   pl_mirror_set_open (fixture.mirror, TRUE);
-  pass (&fixture, PASSED);
+  advance (&fixture, PROPAGATION_TIME);
   row_store_put (fixture.rows, "a", row);
-  pass (&fixture, PASSED);
+  advance (&fixture, PROPAGATION_TIME);
   check_value (&fixture.second, "a", text);
   check_value (&third, "a", text);
   CU_ASSERT (pl_feed_last_answer (fixture.second.feed).transfer.bytes
@@ -449,7 +450,7 @@
   Fixture fixture;
   guint64 copy; /* version to which the store is restored */
   guint n_written;
-  gboolean is_away;
+  gboolean is_unavailable;
 } Walk;
 
 static void
@@ -473,22 +474,23 @@
 }
 
 static void
-walk_return (Walk *self)
+walk_restore (Walk *self)
 {
-  row_store_return_to (self->fixture.rows, self->copy);
+  row_store_restore (self->fixture.rows, self->copy);
 }
 
 static void
-walk_away (Walk *self)
+walk_toggle_outage (Walk *self)
 {
-  self->is_away = !self->is_away;
-  row_store_set_mode (self->fixture.rows, self->is_away ? ROW_STORE_DROPS : ROW_STORE_SERVES);
+  self->is_unavailable = !self->is_unavailable;
+  row_store_set_mode (self->fixture.rows,
+                      self->is_unavailable ? ROW_STORE_DROPS : ROW_STORE_SERVES);
 }
 
 static void
 walk_pass (Walk *self)
 {
-  pass (&self->fixture, 30 * STEP);
+  advance (&self->fixture, 30 * STEP);
 }
 
 static void
@@ -505,23 +507,23 @@
 walk (guint order)
 {
   static void (*const steps[WALK_EVENTS]) (Walk *) = {
-    walk_write, walk_remove, walk_copy, walk_return, walk_away, walk_pass,
+    walk_write, walk_remove, walk_copy, walk_restore, walk_toggle_outage, walk_pass,
   };
   Walk self = { 0 };
 
   fixture_open (&self.fixture);
   row_store_set_era (self.fixture.rows, 1);
   pl_mirror_set_open (self.fixture.mirror, TRUE);
-  pass (&self.fixture, PASSED);
+  advance (&self.fixture, PROPAGATION_TIME);
   self.copy = row_store_version (self.fixture.rows);
   for (guint i = 0; i < WALK_STEPS; i++)
     {
       steps[order % WALK_EVENTS](&self);
-      pass (&self.fixture, STEP);
+      advance (&self.fixture, STEP);
       order /= WALK_EVENTS;
     }
   row_store_set_mode (self.fixture.rows, ROW_STORE_SERVES);
-  pass (&self.fixture, 2 * WAIT);
+  advance (&self.fixture, 2 * WAIT);
   check_follower (&self, &self.fixture.first, "a");
   check_follower (&self, &self.fixture.first, "b");
   check_follower (&self, &self.fixture.second, "a");
@@ -546,11 +548,11 @@
   { "pages of a list", test_pages_of_a_list },
   { "changes are passed on", test_changes_are_passed_on },
   { "a new list is passed on as changes", test_a_new_list_is_passed_on_as_changes },
-  { "a client may have newer rows than the mirror", test_an_asker_may_know_more },
+  { "a client may have newer rows than the mirror", test_client_with_newer_rows },
   { "a mirror that does not follow the store refuses requests",
-    test_who_asks_others_answers_nobody },
-  { "answers beyond the send limit are refused", test_what_the_link_has_no_room_for_is_refused },
-  { "clients that accept no packing get text", test_who_does_not_unpack_gets_text },
+    test_mirror_not_following_the_store_refuses },
+  { "answers beyond the send limit are refused", test_answers_beyond_the_send_limit_are_refused },
+  { "clients that accept no packing get text", test_clients_without_packing_get_text },
   { "an era passes through the mirror", test_an_era_passes_through_the_mirror },
   { "a mirror of an older era answers nothing", test_a_mirror_of_an_older_era_answers_nothing },
   { "every order ends alike", test_every_order_ends_alike },
