--- a/tests/unit/pl_packing_test.c
+++ b/tests/unit/pl_packing_test.c
@@ -5,7 +5,7 @@
 #include "platform/packing.h"
 #include "suite.h"
 
-#define MOST ((gsize)1 << 20)
+#define MAX_PLAIN_BYTES ((gsize)1 << 20)
 
 static GBytes *
 routes (guint n)
@@ -19,7 +19,7 @@
 
 /* Returns FALSE if a piece was refused. */
 static gboolean
-unpack (GBytes *packed, gsize piece, GString *plain, gsize most)
+unpack (GBytes *packed, gsize piece, GString *plain, gsize max_bytes)
 {
   PlUnpacker *unpacker = pl_unpacker_new ();
   gsize length;
@@ -27,7 +27,7 @@
   gboolean taken = TRUE;
 
   for (gsize at = 0; at < length && taken; at += piece)
-    taken = pl_unpacker_feed (unpacker, bytes + at, MIN (piece, length - at), plain, most);
+    taken = pl_unpacker_feed (unpacker, bytes + at, MIN (piece, length - at), plain, max_bytes);
   pl_unpacker_free (unpacker);
   return taken;
 }
@@ -36,7 +36,7 @@
 static void
 test_any_pieces_give_the_same (void)
 {
-  static const gsize pieces[] = { 1, 7, 1000, 16384, MOST };
+  static const gsize pieces[] = { 1, 7, 1000, 16384, MAX_PLAIN_BYTES };
   g_autoptr (GBytes) plain = routes (9000);
   g_autoptr (GBytes) packed = pl_pack (plain);
 
@@ -45,7 +45,7 @@
     {
       GString *got = g_string_new (NULL);
 
-      CU_ASSERT_TRUE (unpack (packed, pieces[i], got, MOST));
+      CU_ASSERT_TRUE (unpack (packed, pieces[i], got, MAX_PLAIN_BYTES));
       CU_ASSERT_EQUAL (got->len, g_bytes_get_size (plain));
       CU_ASSERT_EQUAL (memcmp (got->str, g_bytes_get_data (plain, NULL), got->len), 0);
       g_string_free (got, TRUE);
@@ -55,7 +55,7 @@
 /* Guards against a short body that exhausts the memory when it is unpacked, and against a body that
  * isn't packed. */
 static void
-test_what_is_too_large_or_no_packed_body_is_refused (void)
+test_large_or_unpacked_bodies_are_refused (void)
 {
   g_autoptr (GBytes) plain = routes (9000);
   g_autoptr (GBytes) packed = pl_pack (plain);
@@ -63,13 +63,13 @@
 
   CU_ASSERT_FALSE (unpack (packed, 1000, got, 1000));
   CU_ASSERT (got->len <= 1000);
-  CU_ASSERT_FALSE (unpack (plain, 1000, got, MOST));
+  CU_ASSERT_FALSE (unpack (plain, 1000, got, MAX_PLAIN_BYTES));
   g_string_free (got, TRUE);
 }
 
 static const SuiteCase cases[] = {
   { "any pieces give the same", test_any_pieces_give_the_same },
-  { "large or unpacked bodies are refused", test_what_is_too_large_or_no_packed_body_is_refused },
+  { "large or unpacked bodies are refused", test_large_or_unpacked_bodies_are_refused },
 };
 
 SUITE_MAIN ("pl_packing", cases)
--- a/tests/unit/pl_store_test.c
+++ b/tests/unit/pl_store_test.c
@@ -7,17 +7,17 @@
 #include "suite.h"
 #include "tests/fakes/row_store.h"
 
-#define WAIT    (1 * KNL_SEC)
-#define STUCK_S 20
+#define WAIT           (1 * KNL_SEC)
+#define TEST_TIMEOUT_S 20
 
 /* After changes the next poll is sent after this delay. */
-#define GATHER      (200 * KNL_MSEC)
-#define GATHER_MOST (600 * KNL_MSEC)
+#define COALESCE_DELAY     (200 * KNL_MSEC)
+#define MAX_COALESCE_DELAY (600 * KNL_MSEC)
 
 typedef struct
 {
   struct event_base *base;
-  struct event *stuck;
+  struct event *test_timeout;
   KnlPausedClock *clock;
   KnlKernel *kernel;
   HtClient *client;
@@ -27,15 +27,15 @@
 
   GHashTable *seen; /* key -> value as text */
   gboolean in_pieces;
-  GString *pieces; /* of the value being delivered */
-  guint n_begun;   /* number of values begun */
-  KnlTime busy;    /* time that processing each row takes */
+  GString *pieces;         /* of the value being delivered */
+  guint n_begun;           /* number of values begun */
+  KnlTime processing_time; /* time that processing each row takes */
   guint n_confirmed;
   KnlTime confirmed_at;
 } Fixture;
 
 static void
-on_stuck (evutil_socket_t fd, short what, void *data)
+on_test_timeout (evutil_socket_t fd, short what, void *data)
 {
   g_error ("the test makes no progress");
 }
@@ -58,9 +58,9 @@
 {
   Fixture *self = data;
 
-  if (self->busy > 0)
-    knl_paused_clock_advance (self->clock, self->busy);
-  if (row->gone)
+  if (self->processing_time > 0)
+    knl_paused_clock_advance (self->clock, self->processing_time);
+  if (row->removed)
     g_hash_table_remove (self->seen, row->key);
   else
     g_hash_table_insert (self->seen, g_strdup (row->key),
@@ -121,13 +121,15 @@
 static void
 open_feed (Fixture *self, const PlFeedEvents *events)
 {
-  static const PlFeedPace pace = { .wait = WAIT, .gather = GATHER, .gather_most = GATHER_MOST };
+  static const PlFeedPace pace = { .wait = WAIT,
+                                   .coalesce_delay = COALESCE_DELAY,
+                                   .max_coalesce_delay = MAX_COALESCE_DELAY };
   static const HtLimits limits = { 16384, 4 << 20 };
-  struct timeval limit = { .tv_sec = STUCK_S };
+  struct timeval limit = { .tv_sec = TEST_TIMEOUT_S };
 
   *self = (Fixture){ .base = event_base_new (), .clock = knl_paused_clock_new () };
-  self->stuck = evtimer_new (self->base, on_stuck, NULL);
-  evtimer_add (self->stuck, &limit);
+  self->test_timeout = evtimer_new (self->base, on_test_timeout, NULL);
+  evtimer_add (self->test_timeout, &limit);
   knl_paused_clock_advance (self->clock, 10 * KNL_SEC);
   self->kernel = knl_kernel_new (knl_paused_clock_runtime (self->clock), 5);
   self->client = ht_client_new (self->kernel, self->base, &limits, 60 * KNL_SEC);
@@ -156,12 +158,12 @@
   g_string_free (self->pieces, TRUE);
   knl_kernel_free (self->kernel);
   knl_paused_clock_free (self->clock);
-  event_free (self->stuck);
+  event_free (self->test_timeout);
   event_base_free (self->base);
 }
 
 static void
-turn (Fixture *self)
+iterate (Fixture *self)
 {
   /* Not EVLOOP_ONCE, which would wait for a socket while a job has slices left. */
   event_base_loop (self->base, EVLOOP_NONBLOCK);
@@ -172,14 +174,14 @@
 wait_value (Fixture *self, const char *key, const char *value)
 {
   while (g_strcmp0 (g_hash_table_lookup (self->seen, key), value) != 0)
-    turn (self);
+    iterate (self);
 }
 
 static void
 wait_feeds (Fixture *self, guint n)
 {
   while (row_store_n_feeds (self->rows) < n)
-    turn (self);
+    iterate (self);
 }
 
 static void
@@ -192,7 +194,7 @@
   wait_feeds (&fixture, 1);
   row_store_put (fixture.rows, "b", "{\"v\":\"2\"}");
   wait_value (&fixture, "b", "2");
-  knl_paused_clock_advance (fixture.clock, GATHER + KNL_MSEC);
+  knl_paused_clock_advance (fixture.clock, COALESCE_DELAY + KNL_MSEC);
   wait_feeds (&fixture, 2);
   row_store_put (fixture.rows, "a", NULL);
   wait_value (&fixture, "a", NULL);
@@ -217,17 +219,17 @@
   before = fixture.n_confirmed;
   knl_paused_clock_advance (fixture.clock, WAIT);
   while (fixture.n_confirmed == before)
-    turn (&fixture);
+    iterate (&fixture);
   CU_ASSERT_EQUAL (fixture.confirmed_at, asked);
   wait_feeds (&fixture, 2);
   pl_feed_set_wait (fixture.feed, 5 * KNL_SEC);
-  pl_feed_ask_again (fixture.feed);
+  pl_feed_poll_now (fixture.feed);
   wait_feeds (&fixture, 3);
   asked = knl_kernel_now (fixture.kernel);
   before = fixture.n_confirmed;
   knl_paused_clock_advance (fixture.clock, 5 * KNL_SEC);
   while (fixture.n_confirmed == before)
-    turn (&fixture);
+    iterate (&fixture);
   CU_ASSERT_EQUAL (fixture.confirmed_at, asked + 3800 * KNL_MSEC);
   fixture_close (&fixture);
 }
@@ -247,7 +249,7 @@
   row_store_set_mode (fixture.rows, ROW_STORE_DROPS);
   row_store_put (fixture.rows, "b", "{\"v\":\"2\"}");
   row_store_put (fixture.rows, "a", NULL);
-  row_store_forget_history (fixture.rows);
+  row_store_truncate_history (fixture.rows);
   row_store_set_mode (fixture.rows, ROW_STORE_SERVES);
   while (row_store_n_lists (fixture.rows) < 2)
     {
@@ -265,7 +267,7 @@
  * retrying.
  */
 static void
-test_store_away (void)
+test_store_outage (void)
 {
   static const RowStoreMode modes[] = { ROW_STORE_REFUSES, ROW_STORE_DROPS, ROW_STORE_SILENT };
 
@@ -303,7 +305,7 @@
  * only the request's own timeout, which is as long as the wait, ended it.
  */
 static void
-test_asked_again_at_once (void)
+test_poll_now (void)
 {
   Fixture fixture;
 
@@ -312,12 +314,12 @@
   row_store_set_mode (fixture.rows, ROW_STORE_SILENT);
   row_store_put (fixture.rows, "b", "{\"v\":\"2\"}");
   wait_value (&fixture, "b", "2");
-  knl_paused_clock_advance (fixture.clock, GATHER + KNL_MSEC);
+  knl_paused_clock_advance (fixture.clock, COALESCE_DELAY + KNL_MSEC);
   for (guint round = 0; round < 20; round++)
     event_base_loop (fixture.base, EVLOOP_NONBLOCK);
   row_store_set_mode (fixture.rows, ROW_STORE_SERVES);
   row_store_put (fixture.rows, "c", "{\"v\":\"3\"}");
-  pl_feed_ask_again (fixture.feed);
+  pl_feed_poll_now (fixture.feed);
   wait_value (&fixture, "c", "3");
   CU_ASSERT_EQUAL (row_store_n_lists (fixture.rows), 1);
   fixture_close (&fixture);
@@ -329,16 +331,16 @@
  * requested 100 ms later: the delay between polls didn't depend on the processing time.
  */
 static void
-test_rest_follows_the_cost_of_changes (void)
+test_poll_delay_follows_the_processing_time (void)
 {
   static const struct
   {
-    KnlTime busy;
-    KnlTime rest;
+    KnlTime processing_time;
+    KnlTime delay;
   } rows[] = {
-    { 0, GATHER },
+    { 0, COALESCE_DELAY },
     { 60 * KNL_MSEC, 480 * KNL_MSEC },
-    { 500 * KNL_MSEC, GATHER_MOST },
+    { 500 * KNL_MSEC, MAX_COALESCE_DELAY },
   };
 
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
@@ -347,11 +349,11 @@
 
       fixture_open (&fixture);
       wait_feeds (&fixture, 1);
-      fixture.busy = rows[i].busy;
+      fixture.processing_time = rows[i].processing_time;
       row_store_put (fixture.rows, "b", "{\"v\":\"2\"}");
       wait_value (&fixture, "b", "2");
-      knl_paused_clock_advance (fixture.clock, rows[i].rest - KNL_MSEC);
-      for (guint turn = 0; turn < 20; turn++)
+      knl_paused_clock_advance (fixture.clock, rows[i].delay - KNL_MSEC);
+      for (guint iterate = 0; iterate < 20; iterate++)
         event_base_loop (fixture.base, EVLOOP_NONBLOCK);
       CU_ASSERT_EQUAL (row_store_n_feeds (fixture.rows), 1);
       knl_paused_clock_advance (fixture.clock, 2 * KNL_MSEC);
@@ -373,7 +375,7 @@
 
 /* Runs the event loop until `n` values have begun. */
 static void
-wait_begun (Fixture *self, guint n)
+wait_until_begun (Fixture *self, guint n)
 {
   while (self->n_begun < n)
     event_base_loop (self->base, EVLOOP_ONCE);
@@ -387,24 +389,24 @@
 test_large_values_come_in_slices (void)
 {
   g_autofree char *large = large_value ('x');
-  guint n_turns = 0;
+  guint n_iterations = 0;
   Fixture fixture;
 
   open_feed (&fixture, &piece_events);
   wait_value (&fixture, "a", "{\"v\":\"1\"}");
   wait_feeds (&fixture, 1);
   row_store_put (fixture.rows, "b", large);
-  wait_begun (&fixture, 2);
+  wait_until_begun (&fixture, 2);
   while (g_hash_table_lookup (fixture.seen, "b") == NULL)
     {
       gsize before = fixture.pieces->len;
 
       knl_kernel_run_due (fixture.kernel);
       CU_ASSERT (fixture.pieces->len - before <= 16384);
-      n_turns++;
+      n_iterations++;
     }
   CU_ASSERT_STRING_EQUAL (g_hash_table_lookup (fixture.seen, "b"), large);
-  CU_ASSERT (n_turns >= LARGE_BYTES / 16384);
+  CU_ASSERT (n_iterations >= LARGE_BYTES / 16384);
   fixture_close (&fixture);
 }
 
@@ -425,15 +427,15 @@
   wait_value (&fixture, "a", "{\"v\":\"1\"}");
   wait_feeds (&fixture, 1);
   row_store_put (fixture.rows, "b", large);
-  wait_begun (&fixture, 2);
-  pl_feed_ask_again (fixture.feed);
+  wait_until_begun (&fixture, 2);
+  pl_feed_poll_now (fixture.feed);
   pl_feed_set_source (fixture.feed, fixture.store);
   row_store_put (fixture.rows, "b", larger);
   wait_value (&fixture, "b", large);
   wait_value (&fixture, "b", larger);
   row_store_put (fixture.rows, "b", large);
-  knl_paused_clock_advance (fixture.clock, GATHER_MOST);
-  wait_begun (&fixture, 4);
+  knl_paused_clock_advance (fixture.clock, MAX_COALESCE_DELAY);
+  wait_until_begun (&fixture, 4);
   fixture_close (&fixture);
 }
 
@@ -444,7 +446,7 @@
     {
       knl_paused_clock_advance (self->clock, 50 * KNL_MSEC);
       for (guint j = 0; j < 10; j++)
-        turn (self);
+        iterate (self);
     }
 }
 
@@ -462,7 +464,7 @@
   version = row_store_version (fixture.rows);
   row_store_put (fixture.rows, "b", "{\"v\":\"lost\"}");
   wait_value (&fixture, "b", "lost");
-  row_store_return_to (fixture.rows, version);
+  row_store_restore (fixture.rows, version);
   row_store_put (fixture.rows, "c", "{\"v\":\"other\"}");
   pass_steps (&fixture, 40);
   /* The lost row is removed, and the row that now has its version is present. */
@@ -486,8 +488,8 @@
   row_store_put (fixture.rows, "b", "{\"v\":\"lost\"}");
   row_store_put (fixture.rows, "c", "{\"v\":\"lost\"}");
   while (row_store_n_lists (fixture.rows) < 1)
-    turn (&fixture);
-  row_store_return_to (fixture.rows, version);
+    iterate (&fixture);
+  row_store_restore (fixture.rows, version);
   row_store_put (fixture.rows, "d", "{\"v\":\"2\"}");
   pass_steps (&fixture, 40);
   CU_ASSERT_FALSE (g_hash_table_contains (fixture.seen, "b"));
@@ -562,7 +564,7 @@
   for (guint i = 0; i < 4; i++)
     {
       row_store_put (fixture.rows, "b", "{\"v\":\"lost\"}");
-      row_store_return_to (fixture.rows, version);
+      row_store_restore (fixture.rows, version);
       row_store_put (fixture.rows, "c", "{\"v\":\"2\"}");
       row_store_set_mode (fixture.rows, i % 2 == 0 ? ROW_STORE_DROPS : ROW_STORE_SERVES);
       pass_steps (&fixture, 2);
@@ -572,7 +574,7 @@
   pass_steps (&fixture, 40);
   CU_ASSERT_FALSE (g_hash_table_contains (fixture.seen, "b"));
   CU_ASSERT_EQUAL (g_strcmp0 (g_hash_table_lookup (fixture.seen, "c"), "3"), 0);
-  CU_ASSERT_EQUAL (pl_feed_position (fixture.feed).era, PL_ERA_FIRST + 5);
+  CU_ASSERT_EQUAL (pl_feed_position (fixture.feed).era, PL_ERA_OFFSET + 5);
   fixture_close (&fixture);
 }
 
@@ -580,11 +582,11 @@
   { "changes arrive", test_changes_arrive },
   { "confirmed as of the question", test_confirmed_as_of_the_question },
   { "history gone", test_history_gone },
-  { "the store is away", test_store_away },
-  { "a poll replaces a waiting request", test_asked_again_at_once },
+  { "the store is away", test_store_outage },
+  { "a poll replaces a waiting request", test_poll_now },
   { "large values come in slices", test_large_values_come_in_slices },
   { "interrupted values", test_interrupted_values },
-  { "the poll delay follows the processing time", test_rest_follows_the_cost_of_changes },
+  { "the poll delay follows the processing time", test_poll_delay_follows_the_processing_time },
   { "versions are given out again", test_versions_are_given_out_again },
   { "an era begins within a list", test_an_era_begins_within_a_list },
   { "answers of no known era", test_answers_of_no_known_era },
--- a/tests/unit/pl_transfer_test.c
+++ b/tests/unit/pl_transfer_test.c
@@ -8,17 +8,17 @@
 #include "platform/store.h"
 #include "suite.h"
 
-#define WAIT    (500 * KNL_MSEC)
-#define GATHER  (100 * KNL_MSEC)
-#define STEP    (20 * KNL_MSEC)
-#define STUCK_S 20
+#define WAIT           (500 * KNL_MSEC)
+#define COALESCE_DELAY (100 * KNL_MSEC)
+#define STEP           (20 * KNL_MSEC)
+#define TEST_TIMEOUT_S 20
 
 /* Length of a value with many routes, and number of the pieces in which it is sent. */
 #define VALUE_BYTES 900000
 #define PIECES      30
 
 /* Interval between two pieces. */
-#define PIECE_EVERY (120 * KNL_MSEC)
+#define PIECE_INTERVAL (120 * KNL_MSEC)
 
 /* After this time without a byte the feed must have sent another request. */
 #define SILENCE (3 * KNL_SEC)
@@ -27,7 +27,7 @@
 typedef struct
 {
   struct event_base *base;
-  struct event *stuck;
+  struct event *test_timeout;
   KnlPausedClock *clock;
   KnlKernel *kernel;
   HtServer *server;
@@ -38,12 +38,12 @@
   char *changes;
   gsize sent;
   guint n_feeds;
-  guint n_rows;       /* changed rows delivered */
-  guint n_feeds_then; /* value of n_feeds when the last of them was delivered */
+  guint n_rows;         /* changed rows delivered */
+  guint n_feeds_at_row; /* value of n_feeds when the last of them was delivered */
 } Fixture;
 
 static void
-on_stuck (evutil_socket_t fd, short what, void *data)
+on_test_timeout (evutil_socket_t fd, short what, void *data)
 {
   g_error ("the test makes no progress");
 }
@@ -65,7 +65,7 @@
 }
 
 static void
-on_gone (HtCall *call, gpointer data)
+on_disconnected (HtCall *call, gpointer data)
 {
   Fixture *self = data;
 
@@ -86,7 +86,7 @@
   if (row->version == 1)
     return;
   self->n_rows++;
-  self->n_feeds_then = self->n_feeds;
+  self->n_feeds_at_row = self->n_feeds;
 }
 
 static void
@@ -101,14 +101,14 @@
   .confirmed = on_confirmed,
 };
 
-static const PlFeedPace pace = { .wait = WAIT, .gather = GATHER };
+static const PlFeedPace pace = { .wait = WAIT, .coalesce_delay = COALESCE_DELAY };
 
 static void
-pass (Fixture *self, KnlTime time)
+advance (Fixture *self, KnlTime time)
 {
   for (KnlTime passed = 0; passed < time; passed += STEP)
     {
-      for (guint turn = 0; turn < 30; turn++)
+      for (guint iteration = 0; iteration < 30; iteration++)
         event_base_loop (self->base, EVLOOP_NONBLOCK);
       knl_paused_clock_advance (self->clock, STEP);
     }
@@ -116,7 +116,7 @@
 
 /* A text without repeated parts. */
 static char *
-value_of (KnlKernel *kernel, gsize length)
+make_text (KnlKernel *kernel, gsize length)
 {
   GString *text = g_string_new (NULL);
 
@@ -128,7 +128,7 @@
 static char *
 encoded_value (KnlKernel *kernel)
 {
-  g_autofree char *text = value_of (kernel, VALUE_BYTES * 3 / 4);
+  g_autofree char *text = make_text (kernel, VALUE_BYTES * 3 / 4);
 
   return g_base64_encode ((const guchar *)text, strlen (text));
 }
@@ -143,9 +143,10 @@
     .request_timeout = KNL_SEC,
     .idle_timeout = 60 * KNL_SEC,
     .max_connections = 16,
-    .max_unsent = HT_UNSENT_BYTES,
+    .max_unsent = HT_DEFAULT_MAX_UNSENT,
   };
-  static const HtServerEvents server_events = { .request = on_request, .gone = on_gone };
+  static const HtServerEvents server_events = { .request = on_request,
+                                                .disconnected = on_disconnected };
   static guint port = 29000;
   char *address = NULL;
 
@@ -163,14 +164,14 @@
 fixture_open (Fixture *self)
 {
   static const HtLimits limits = { 16384, 4 << 20 };
-  struct timeval limit = { .tv_sec = STUCK_S };
+  struct timeval limit = { .tv_sec = TEST_TIMEOUT_S };
   g_autofree char *address = NULL;
   g_autofree char *value = NULL;
 
   signal (SIGPIPE, SIG_IGN);
   *self = (Fixture){ .base = event_base_new (), .clock = knl_paused_clock_new () };
-  self->stuck = evtimer_new (self->base, on_stuck, NULL);
-  evtimer_add (self->stuck, &limit);
+  self->test_timeout = evtimer_new (self->base, on_test_timeout, NULL);
+  evtimer_add (self->test_timeout, &limit);
   knl_paused_clock_advance (self->clock, 10 * KNL_SEC);
   self->kernel = knl_kernel_new (knl_paused_clock_runtime (self->clock), 5);
   address = open_server (self);
@@ -181,7 +182,7 @@
       g_strdup_printf ("{\"rows\":[{\"key\":\"a\",\"ver\":2,\"value\":\"%s\"}],\"ver\":2}", value);
   self->feed = pl_feed_new (self->store, "t", &pace, &events, self);
   while (self->call == NULL)
-    pass (self, STEP);
+    advance (self, STEP);
 }
 
 static void
@@ -193,7 +194,7 @@
   ht_server_free (self->server);
   knl_kernel_free (self->kernel);
   knl_paused_clock_free (self->clock);
-  event_free (self->stuck);
+  event_free (self->test_timeout);
   event_base_free (self->base);
   g_free (self->changes);
 }
@@ -222,7 +223,7 @@
   for (guint i = 0; i < pieces; i++)
     {
       send_piece (self);
-      pass (self, PIECE_EVERY);
+      advance (self, PIECE_INTERVAL);
     }
 }
 
@@ -236,7 +237,7 @@
   fixture_open (&fixture);
   send_pieces (&fixture, PIECES);
   CU_ASSERT_EQUAL (fixture.n_rows, 1);
-  CU_ASSERT_EQUAL (fixture.n_feeds_then, 1);
+  CU_ASSERT_EQUAL (fixture.n_feeds_at_row, 1);
   fixture_close (&fixture);
 }
 
@@ -250,11 +251,11 @@
   for (guint i = 0; i < PIECES; i++)
     {
       send_pieces (&fixture, 1);
-      pl_feed_ask_again (fixture.feed);
+      pl_feed_poll_now (fixture.feed);
     }
-  pass (&fixture, KNL_SEC);
+  advance (&fixture, KNL_SEC);
   CU_ASSERT_EQUAL (fixture.n_rows, 1);
-  CU_ASSERT_EQUAL (fixture.n_feeds_then, 1);
+  CU_ASSERT_EQUAL (fixture.n_feeds_at_row, 1);
   fixture_close (&fixture);
 }
 
@@ -268,7 +269,7 @@
   fixture_open (&fixture);
   send_pieces (&fixture, PIECES / 2);
   CU_ASSERT_EQUAL (fixture.n_feeds, 1);
-  pass (&fixture, SILENCE);
+  advance (&fixture, SILENCE);
   CU_ASSERT (fixture.n_feeds > 1);
   CU_ASSERT_EQUAL (fixture.n_rows, 0);
   fixture_close (&fixture);
@@ -283,11 +284,11 @@
 
   fixture_open (&fixture);
   send_pieces (&fixture, PIECES / 2);
-  for (KnlTime passed = 0; passed < SILENCE; passed += PIECE_EVERY)
+  for (KnlTime passed = 0; passed < SILENCE; passed += PIECE_INTERVAL)
     {
       if (fixture.call != NULL && ht_call_has_begun (fixture.call))
         ht_call_send (fixture.call, " ", 1);
-      pass (&fixture, PIECE_EVERY);
+      advance (&fixture, PIECE_INTERVAL);
     }
   CU_ASSERT (fixture.n_feeds > 1);
   fixture_close (&fixture);
@@ -302,10 +303,10 @@
 
   fixture_open (&fixture);
   ht_call_begin (fixture.call, 200, NULL);
-  pass (&fixture, PIECE_EVERY);
+  advance (&fixture, PIECE_INTERVAL);
   CU_ASSERT_FALSE (pl_feed_is_receiving (fixture.feed));
-  pl_feed_ask_again (fixture.feed);
-  pass (&fixture, PIECE_EVERY);
+  pl_feed_poll_now (fixture.feed);
+  advance (&fixture, PIECE_INTERVAL);
   CU_ASSERT_EQUAL (fixture.n_feeds, 2);
   fixture_close (&fixture);
 }
--- a/tests/unit/pol_test.c
+++ b/tests/unit/pol_test.c
@@ -19,7 +19,7 @@
 test_budget_is_shared (void)
 {
   static const PolBudgetRule rule = {
-    .ratio = 0.2, .slack = 100, .window = 10 * KNL_SEC, .used_part = 0.75
+    .ratio = 0.2, .slack = 100, .window = 10 * KNL_SEC, .used_fraction = 0.75
   };
 
   for (guint instances = 1; instances <= 20; instances++)
@@ -52,7 +52,7 @@
   static const PolBudgetRule rule = { .ratio = 0.2,
                                       .slack = 258,
                                       .window = 10 * KNL_SEC,
-                                      .used_part = 0.75,
+                                      .used_fraction = 0.75,
                                       .slack_after = 10 * KNL_SEC };
   static const guint instances = 91;
   PolBudget before = { 0 };
@@ -84,10 +84,10 @@
  * up to its limit of attempts, unless retries are bounded over all requests together.
  */
 static void
-test_retries_stay_a_part_of_the_load (void)
+test_retries_are_limited_under_load (void)
 {
   static const PolBudgetRule rule = {
-    .ratio = 0.1, .slack = 10, .window = 10 * KNL_SEC, .used_part = 1
+    .ratio = 0.1, .slack = 10, .window = 10 * KNL_SEC, .used_fraction = 1
   };
   PolBudget budget = { 0 };
   guint retries = 0;
@@ -109,7 +109,7 @@
 static void
 test_suspects_are_refused_after_three (void)
 {
-  static const PolSuspectRule rule = { .refuse_at = 3, .life = 60 * KNL_SEC };
+  static const PolSuspectRule rule = { .refuse_at = 3, .ttl = 60 * KNL_SEC };
   g_autoptr (KnlPausedClock) clock = knl_paused_clock_new ();
   g_autoptr (KnlKernel) kernel = knl_kernel_new (knl_paused_clock_runtime (clock), 7);
   PolSuspects *suspects = pol_suspects_new (kernel, &rule);
@@ -135,18 +135,18 @@
 static void
 test_suspects_by_own_counts_and_totals (void)
 {
-  static const PolSuspectRule rule = { .refuse_at = 2, .life = 60 * KNL_SEC };
+  static const PolSuspectRule rule = { .refuse_at = 2, .ttl = 60 * KNL_SEC };
   g_autoptr (KnlPausedClock) clock = knl_paused_clock_new ();
   g_autoptr (KnlKernel) kernel = knl_kernel_new (knl_paused_clock_runtime (clock), 7);
   PolSuspects *suspects = pol_suspects_new (kernel, &rule);
 
   pol_suspects_note_crash (suspects, 1);
-  CU_ASSERT_EQUAL (pol_suspects_check (suspects, 1), POL_SUSPICION_ALONE);
-  pol_suspects_note_survived (suspects, 1);
+  CU_ASSERT_EQUAL (pol_suspects_check (suspects, 1), POL_SUSPICION_RUN_ALONE);
+  pol_suspects_note_success (suspects, 1);
   CU_ASSERT_EQUAL (pol_suspects_check (suspects, 1), POL_SUSPICION_NONE);
   pol_suspects_note_total (suspects, 2, 1, FALSE, 5 * KNL_SEC);
-  pol_suspects_note_survived (suspects, 2);
-  CU_ASSERT_EQUAL (pol_suspects_check (suspects, 2), POL_SUSPICION_ALONE);
+  pol_suspects_note_success (suspects, 2);
+  CU_ASSERT_EQUAL (pol_suspects_check (suspects, 2), POL_SUSPICION_RUN_ALONE);
   pol_suspects_note_crash (suspects, 2);
   CU_ASSERT_EQUAL (pol_suspects_check (suspects, 2), POL_SUSPICION_REFUSED);
   pol_suspects_note_total (suspects, 3, 0, TRUE, 5 * KNL_SEC);
@@ -204,17 +204,17 @@
  * doesn't end with its first answer. Covers consecutive losses and consecutive failed answers.
  */
 static void
-test_rests_grow_and_end (void)
+test_backoffs_grow_and_end (void)
 {
   static const PolHealthRule rule = { .first = 100, .limit = 350, .errors = 3 };
-  static const KnlTime rests[] = { 100, 200, 350, 350 };
+  static const KnlTime backoffs[] = { 100, 200, 350, 350 };
   PolHealth health = { 0 };
 
-  for (guint i = 0; i < G_N_ELEMENTS (rests); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (backoffs); i++)
     {
       pol_health_note_loss (&health, &rule, 1000);
-      CU_ASSERT_TRUE (pol_health_is_suspended (&health, 1000 + rests[i] - 1));
-      CU_ASSERT_FALSE (pol_health_is_suspended (&health, 1000 + rests[i]));
+      CU_ASSERT_TRUE (pol_health_is_suspended (&health, 1000 + backoffs[i] - 1));
+      CU_ASSERT_FALSE (pol_health_is_suspended (&health, 1000 + backoffs[i]));
     }
   for (guint i = 0; i < 200; i++)
     pol_health_note_loss (&health, &rule, 1000);
@@ -289,19 +289,19 @@
       pol_limit_set (&limit, rows[i].rate, now);
       now += rows[i].idle * KNL_MSEC;
       pol_limit_wait (&limit, &rows[i].share, now);
-      pol_limit_take (&limit, rows[i].sent);
+      pol_limit_charge (&limit, rows[i].sent);
       wait = pol_limit_wait (&limit, &rows[i].share, now);
       CU_ASSERT (ABS (wait - rows[i].wait * KNL_MSEC) <= 2);
     }
 }
 
 static void
-test_newest_word_of_a_limit (void)
+test_newest_advertised_limit (void)
 {
   static const struct
   {
     double rate;
-    KnlTime named_at;
+    KnlTime advertised_at;
     gboolean changes;
     double known; /* rate afterwards */
   } rows[] = {
@@ -318,7 +318,8 @@
   pol_limit_init (&limit);
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
     {
-      CU_ASSERT_EQUAL (pol_limit_set (&limit, rows[i].rate, rows[i].named_at), rows[i].changes);
+      CU_ASSERT_EQUAL (pol_limit_set (&limit, rows[i].rate, rows[i].advertised_at),
+                       rows[i].changes);
       CU_ASSERT_EQUAL (limit.rate, rows[i].known);
     }
 }
@@ -326,14 +327,14 @@
 static const SuiteCase cases[] = {
   { "the retry budget is one for all", test_budget_is_shared },
   { "the budget is not spent twice by a restart", test_budget_is_not_spent_twice_by_a_restart },
-  { "retries stay a part of the load", test_retries_stay_a_part_of_the_load },
+  { "retries stay a part of the load", test_retries_are_limited_under_load },
   { "a request that crashes three is refused", test_suspects_are_refused_after_three },
   { "suspects by own counts and by totals", test_suspects_by_own_counts_and_totals },
   { "retries by rule, by table", test_retries_by_rule },
-  { "rests grow and end", test_rests_grow_and_end },
+  { "rests grow and end", test_backoffs_grow_and_end },
   { "the choice among plain endpoints", test_plain_choice },
   { "limits of endpoints", test_limits },
-  { "the newest word of a limit", test_newest_word_of_a_limit },
+  { "the newest word of a limit", test_newest_advertised_limit },
 };
 
 SUITE_MAIN ("pol", cases)
--- a/tests/unit/sv_cells_test.c
+++ b/tests/unit/sv_cells_test.c
@@ -11,7 +11,7 @@
 #define ENDPOINTS 40
 
 /* Time until a stopped relay is replaced: three missed heartbeats, and the next one. */
-#define REPLACED (4 * PEERS_BEAT + PEERS_ACROSS)
+#define RELAY_REPLACEMENT_TIME (4 * PEERS_HEARTBEAT_INTERVAL + PEERS_PROPAGATION_TIME)
 
 static const char *const zones[INSTANCES] = { "a", "a", "a", "b", "b", "b" };
 
@@ -19,7 +19,7 @@
 fixture_open (PeersFixture *self)
 {
   peers_fixture_open (self, zones, INSTANCES, ENDPOINTS);
-  peers_fixture_meet (self);
+  peers_fixture_connect (self);
 }
 
 static guint
@@ -66,11 +66,11 @@
       peers_fixture_call (&fixture, i, (gint)i + 1);
       calls += i + 1;
     }
-  peers_fixture_pass (&fixture, PEERS_ACROSS);
+  peers_fixture_advance (&fixture, PEERS_PROPAGATION_TIME);
   check_loads (&fixture, calls);
   peers_fixture_call (&fixture, 1, -2);
   peers_fixture_call (&fixture, 5, -6);
-  peers_fixture_pass (&fixture, PEERS_ACROSS);
+  peers_fixture_advance (&fixture, PEERS_PROPAGATION_TIME);
   check_loads (&fixture, calls - 8);
   peers_fixture_close (&fixture);
 }
@@ -91,17 +91,17 @@
   lost = relay_of (&fixture, 0);
   other = lost == 0 ? 1 : 0;
   peers_fixture_call (&fixture, lost, 5);
-  peers_fixture_pass (&fixture, PEERS_ACROSS);
+  peers_fixture_advance (&fixture, PEERS_PROPAGATION_TIME);
   check_loads (&fixture, 5);
   peers_fixture_stop (&fixture, lost);
-  peers_fixture_pass (&fixture, REPLACED);
+  peers_fixture_advance (&fixture, RELAY_REPLACEMENT_TIME);
   check_loads (&fixture, 0);
   peers_fixture_call (&fixture, other, 3);
-  peers_fixture_pass (&fixture, PEERS_ACROSS);
+  peers_fixture_advance (&fixture, PEERS_PROPAGATION_TIME);
   check_loads (&fixture, 3);
   /* Announcements of other zones reach this zone, too. */
   peers_fixture_call (&fixture, 4, 10);
-  peers_fixture_pass (&fixture, PEERS_ACROSS);
+  peers_fixture_advance (&fixture, PEERS_PROPAGATION_TIME);
   check_loads (&fixture, 13);
   peers_fixture_close (&fixture);
 }
@@ -112,18 +112,18 @@
  * Cause: the sums of a silent cell were kept.
  */
 static void
-test_a_silent_cell_is_left_out (void)
+test_a_silent_cell_is_ignored (void)
 {
   PeersFixture fixture;
 
   fixture_open (&fixture);
   peers_fixture_call (&fixture, 0, 1);
   peers_fixture_call (&fixture, 4, 9);
-  peers_fixture_pass (&fixture, PEERS_ACROSS);
+  peers_fixture_advance (&fixture, PEERS_PROPAGATION_TIME);
   check_loads (&fixture, 10);
   for (guint i = 3; i < INSTANCES; i++)
     peers_fixture_stop (&fixture, i);
-  peers_fixture_pass (&fixture, 2 * KNL_SEC + PEERS_BEAT + PEERS_ACROSS);
+  peers_fixture_advance (&fixture, 2 * KNL_SEC + PEERS_HEARTBEAT_INTERVAL + PEERS_PROPAGATION_TIME);
   check_loads (&fixture, 1);
   peers_fixture_close (&fixture);
 }
@@ -136,11 +136,11 @@
  * Cause: it took endpoints for idle whose loads it hadn't received yet, running prefills included.
  */
 static void
-test_an_instance_starts_with_knowledge (void)
+test_a_started_instance_gets_a_snapshot (void)
 {
   PeersFixture fixture;
   SvPeerLink *link;
-  SvRead read = { .prompt = 5, .length = 300 * KNL_MSEC, .until_told = TRUE };
+  SvPrefill read = { .prompt = 5, .length = 300 * KNL_MSEC, .until_told = TRUE };
   SvEndpoint *endpoint;
   guint started;
 
@@ -149,22 +149,22 @@
   peers_fixture_call (&fixture, 0, 1);
   peers_fixture_call (&fixture, 4, 9);
   endpoint = peers_fixture_endpoint (&fixture, 4);
-  sv_fleet_add_read (fixture.fleets[4], &read, &endpoint->key, 1);
+  sv_fleet_add_prefill (fixture.fleets[4], &read, &endpoint->key, 1);
   link = sv_peers_link (fixture.peers[4]);
-  link->klass->read_placed (link, &read, &endpoint->key, 1);
-  peers_fixture_pass (&fixture, PEERS_ACROSS);
+  link->klass->prefill_placed (link, &read, &endpoint->key, 1);
+  peers_fixture_advance (&fixture, PEERS_PROPAGATION_TIME);
   peers_fixture_stop (&fixture, started);
   fixture.incarnation++;
   peers_fixture_start (&fixture, started);
   for (guint i = 0; i < INSTANCES; i++)
     {
       if (i != started)
-        peers_fixture_learn (&fixture, started, i);
+        peers_fixture_discover (&fixture, started, i);
     }
-  peers_fixture_pass (&fixture, 3 * KNL_MSEC);
+  peers_fixture_advance (&fixture, 3 * KNL_MSEC);
   CU_ASSERT_EQUAL (peers_fixture_load (&fixture, started).calls, 10);
-  CU_ASSERT (sv_endpoint_read_left (peers_fixture_endpoint (&fixture, started),
-                                    knl_kernel_now (fixture.kernel))
+  CU_ASSERT (sv_endpoint_prefill_left (peers_fixture_endpoint (&fixture, started),
+                                       knl_kernel_now (fixture.kernel))
              > 250 * KNL_MSEC);
   peers_fixture_close (&fixture);
 }
@@ -175,7 +175,7 @@
  * Cause: the sums of both were accepted.
  */
 static void
-test_one_speaks_for_a_cell (void)
+test_one_relay_is_accepted_for_a_cell (void)
 {
   PeersFixture fixture;
   guint relay;
@@ -185,17 +185,17 @@
   relay = relay_of (&fixture, 0);
   other = relay == 0 ? 1 : 0;
   peers_fixture_call (&fixture, relay, 4);
-  peers_fixture_pass (&fixture, PEERS_ACROSS);
+  peers_fixture_advance (&fixture, PEERS_PROPAGATION_TIME);
   /* The started instance knows no peer of its own cell, only one of the other zone. */
   peers_fixture_stop (&fixture, other);
   fixture.strength[other] = 1;
   fixture.incarnation++;
   peers_fixture_start (&fixture, other);
-  peers_fixture_learn (&fixture, other, 3);
+  peers_fixture_discover (&fixture, other, 3);
   CU_ASSERT (sv_peers_is_relay (fixture.peers[other]));
   for (guint i = 0; i < 10; i++)
     {
-      peers_fixture_pass (&fixture, 100 * KNL_MSEC);
+      peers_fixture_advance (&fixture, 100 * KNL_MSEC);
       CU_ASSERT_EQUAL (peers_fixture_load (&fixture, 4).calls, 4);
     }
   peers_fixture_close (&fixture);
@@ -210,7 +210,7 @@
   guint n = 0;
 
   for (guint i = 0; i < INSTANCES; i++)
-    n += sv_peers_follows (self->peers[i]);
+    n += sv_peers_follows_store (self->peers[i]);
   return n;
 }
 
@@ -221,28 +221,28 @@
  * the first that gets an answer is one that the others query.
  */
 static void
-test_who_is_turned_away_is_passed_over (void)
+test_rejected_followers_are_skipped (void)
 {
   PeersFixture fixture;
 
   peers_fixture_open (&fixture, one_zone, INSTANCES, 1);
-  peers_fixture_meet (&fixture);
+  peers_fixture_connect (&fixture);
   CU_ASSERT_EQUAL (n_followers (&fixture), 2);
   for (guint i = 0; i < INSTANCES; i++)
     {
-      if (sv_peers_follows (fixture.peers[i]))
+      if (sv_peers_follows_store (fixture.peers[i]))
         sv_peers_set_cut_off (fixture.peers[i], TRUE);
     }
-  peers_fixture_pass (&fixture, PEERS_ACROSS);
+  peers_fixture_advance (&fixture, PEERS_PROPAGATION_TIME);
   /* Rejected instances go on trying. */
   CU_ASSERT_EQUAL (n_followers (&fixture), 4);
   for (guint i = 0; i < INSTANCES; i++)
     sv_peers_set_cut_off (fixture.peers[i], TRUE);
-  peers_fixture_pass (&fixture, PEERS_ACROSS);
+  peers_fixture_advance (&fixture, PEERS_PROPAGATION_TIME);
   CU_ASSERT_EQUAL (n_followers (&fixture), INSTANCES);
   for (guint i = 0; i < INSTANCES; i++)
     sv_peers_set_cut_off (fixture.peers[i], FALSE);
-  peers_fixture_pass (&fixture, PEERS_ACROSS);
+  peers_fixture_advance (&fixture, PEERS_PROPAGATION_TIME);
   CU_ASSERT_EQUAL (n_followers (&fixture), 2);
   peers_fixture_close (&fixture);
 }
@@ -260,20 +260,20 @@
       fixture.strength[i] = 500;
       peers_fixture_start (&fixture, i);
     }
-  peers_fixture_meet (&fixture);
+  peers_fixture_connect (&fixture);
   for (guint i = 0; i < INSTANCES; i++)
     {
-      const char *follower = sv_peers_follower (fixture.peers[i], NULL);
-      const char *second = sv_peers_follower (fixture.peers[i], follower);
+      const char *follower = sv_peers_choose_follower (fixture.peers[i], NULL);
+      const char *second = sv_peers_choose_follower (fixture.peers[i], follower);
 
-      CU_ASSERT_EQUAL (sv_peers_follows (fixture.peers[i]), i >= 4);
+      CU_ASSERT_EQUAL (sv_peers_follows_store (fixture.peers[i]), i >= 4);
       CU_ASSERT (sv_peers_is_follower (fixture.peers[i], follower));
       CU_ASSERT_STRING_NOT_EQUAL (follower, second);
     }
   /* An instance that leaves is replaced at once. */
   sv_peers_leave (fixture.peers[4]);
-  peers_fixture_pass (&fixture, PEERS_ACROSS);
-  CU_ASSERT_FALSE (sv_peers_follows (fixture.peers[4]));
+  peers_fixture_advance (&fixture, PEERS_PROPAGATION_TIME);
+  CU_ASSERT_FALSE (sv_peers_follows_store (fixture.peers[4]));
   CU_ASSERT_FALSE (sv_peers_is_relay (fixture.peers[4]));
   peers_fixture_close (&fixture);
 }
@@ -281,10 +281,10 @@
 static const SuiteCase cases[] = {
   { "sums are known everywhere", test_sums_are_known_everywhere },
   { "a lost relay is replaced", test_a_lost_relay_is_replaced },
-  { "a silent cell is ignored", test_a_silent_cell_is_left_out },
-  { "a started instance gets a snapshot", test_an_instance_starts_with_knowledge },
-  { "one relay is accepted for a cell", test_one_speaks_for_a_cell },
-  { "rejected followers are skipped", test_who_is_turned_away_is_passed_over },
+  { "a silent cell is ignored", test_a_silent_cell_is_ignored },
+  { "a started instance gets a snapshot", test_a_started_instance_gets_a_snapshot },
+  { "one relay is accepted for a cell", test_one_relay_is_accepted_for_a_cell },
+  { "rejected followers are skipped", test_rejected_followers_are_skipped },
   { "followers are the strongest", test_followers_are_the_strongest },
 };
 
--- a/tests/unit/sv_confirm_test.c
+++ b/tests/unit/sv_confirm_test.c
@@ -8,12 +8,12 @@
 #include "suite.h"
 
 /* Enough instances for confirmations to be passed on; two of them query the store. */
-#define INSTANCES 14
-#define STUCK_S   20
+#define INSTANCES      14
+#define TEST_TIMEOUT_S 20
 
-#define TRUST (4500 * KNL_MSEC)
-#define TICK  (TRUST / 5)
-#define STEP  (100 * KNL_MSEC)
+#define MAX_STALENESS    (4500 * KNL_MSEC)
+#define REQUEST_INTERVAL (MAX_STALENESS / 5)
+#define STEP             (100 * KNL_MSEC)
 
 typedef struct
 {
@@ -25,15 +25,15 @@
   guint64 version;
   KnlTime confirmed_at;
   guint64 endpoints;
-  KnlTime endpoints_heard_at;
-  guint n_asked_store;
-  guint n_asked_endpoints;
+  KnlTime endpoints_last_seen_at;
+  guint n_store_queries;
+  guint n_endpoint_queries;
 } Instance;
 
 typedef struct
 {
   struct event_base *base;
-  struct event *stuck;
+  struct event *test_timeout;
   KnlPausedClock *clock;
   KnlKernel *kernel;
   const char *last_zone; /* of the last two instances; the others are in "a" */
@@ -41,7 +41,7 @@
 } Fixture;
 
 static void
-on_stuck (evutil_socket_t fd, short what, void *data)
+on_test_timeout (evutil_socket_t fd, short what, void *data)
 {
   g_error ("the test timed out");
 }
@@ -69,9 +69,9 @@
 }
 
 static void
-ask_store (gpointer data)
+query_store (gpointer data)
 {
-  ((Instance *)data)->n_asked_store++;
+  ((Instance *)data)->n_store_queries++;
 }
 
 static SvPosition
@@ -83,28 +83,28 @@
 }
 
 static KnlTime
-endpoints_heard_at (gpointer data)
+endpoints_last_seen_at (gpointer data)
 {
-  return ((Instance *)data)->endpoints_heard_at;
+  return ((Instance *)data)->endpoints_last_seen_at;
 }
 
 static void
-ask_endpoints (gpointer data)
+query_endpoints (gpointer data)
 {
-  ((Instance *)data)->n_asked_endpoints++;
+  ((Instance *)data)->n_endpoint_queries++;
 }
 
 static const SvConfirmEvents confirm_events = {
   .version = version,
   .confirmed_at = confirmed_at,
   .confirm = confirm,
-  .ask_store = ask_store,
+  .query_store = query_store,
   .endpoints = endpoints,
   .endpoints_known = endpoints,
-  .endpoints_heard_at = endpoints_heard_at,
-  .ask_endpoints = ask_endpoints,
-  .config_heard_at = endpoints_heard_at,
-  .ask_config = ask_store,
+  .endpoints_last_seen_at = endpoints_last_seen_at,
+  .query_endpoints = query_endpoints,
+  .config_last_seen_at = endpoints_last_seen_at,
+  .query_config = query_store,
 };
 
 static const char *
@@ -136,13 +136,13 @@
     }
   instance->version = 7;
   instance->confirmed_at = knl_kernel_now (self->kernel);
-  instance->endpoints_heard_at = instance->confirmed_at;
+  instance->endpoints_last_seen_at = instance->confirmed_at;
   instance->confirm =
-      sv_confirm_new (self->kernel, instance->peers, TRUST, &confirm_events, instance);
+      sv_confirm_new (self->kernel, instance->peers, MAX_STALENESS, &confirm_events, instance);
 }
 
 static void
-turn (Fixture *self)
+run_loop (Fixture *self)
 {
   for (guint i = 0; i < 4 * INSTANCES; i++)
     event_base_loop (self->base, EVLOOP_NONBLOCK);
@@ -151,13 +151,13 @@
 static void
 fixture_open_in (Fixture *self, const char *last_zone)
 {
-  struct timeval limit = { .tv_sec = STUCK_S };
+  struct timeval limit = { .tv_sec = TEST_TIMEOUT_S };
 
   *self = (Fixture){ .base = event_base_new (),
                      .clock = knl_paused_clock_new (),
                      .last_zone = last_zone };
-  self->stuck = evtimer_new (self->base, on_stuck, NULL);
-  evtimer_add (self->stuck, &limit);
+  self->test_timeout = evtimer_new (self->base, on_test_timeout, NULL);
+  evtimer_add (self->test_timeout, &limit);
   knl_paused_clock_advance (self->clock, 100 * KNL_SEC);
   self->kernel = knl_kernel_new (knl_paused_clock_runtime (self->clock), 5);
   for (guint i = 0; i < INSTANCES; i++)
@@ -171,7 +171,7 @@
                             .zone = zone_of (self, j),
                             .strength = 1 };
 
-        sv_peers_learn (self->instances[i].peers, &member);
+        sv_peers_discover (self->instances[i].peers, &member);
       }
   for (guint i = 0; i < INSTANCES; i++)
     {
@@ -202,30 +202,30 @@
     }
   knl_kernel_free (self->kernel);
   knl_paused_clock_free (self->clock);
-  event_free (self->stuck);
+  event_free (self->test_timeout);
   event_base_free (self->base);
 }
 
 /* Returns an instance that doesn't query the store itself. */
 static Instance *
-choose_other (Fixture *self)
+choose_non_follower (Fixture *self)
 {
   Instance *other = NULL;
 
   for (guint i = 0; i < INSTANCES; i++)
     {
-      if (!sv_confirm_asks_store (self->instances[i].confirm))
+      if (!sv_confirm_polls_store (self->instances[i].confirm))
         other = &self->instances[i];
     }
   return other;
 }
 
 static void
-confirm_askers (Fixture *self)
+confirm_followers (Fixture *self)
 {
   for (guint i = 0; i < INSTANCES; i++)
     {
-      if (sv_confirm_asks_store (self->instances[i].confirm))
+      if (sv_confirm_polls_store (self->instances[i].confirm))
         self->instances[i].confirmed_at = knl_kernel_now (self->kernel);
     }
 }
@@ -233,14 +233,14 @@
 /* Advances the clock in small steps; all datagrams are delivered. If `confirmed`, the instances
  * that query the store are confirmed at each step. */
 static void
-pass (Fixture *self, KnlTime time, gboolean confirmed)
+advance (Fixture *self, KnlTime time, gboolean confirmed)
 {
   for (KnlTime passed = 0; passed < time; passed += STEP)
     {
       if (confirmed)
-        confirm_askers (self);
+        confirm_followers (self);
       knl_paused_clock_advance (self->clock, STEP);
-      turn (self);
+      run_loop (self);
     }
 }
 
@@ -251,20 +251,20 @@
 }
 
 static void
-test_few_ask_and_all_know (void)
+test_few_query_the_store_and_all_are_confirmed (void)
 {
   Fixture fixture;
-  guint n_askers = 0;
+  guint n_followers = 0;
 
   fixture_open (&fixture);
   for (guint i = 0; i < INSTANCES; i++)
-    n_askers += sv_confirm_asks_store (fixture.instances[i].confirm);
-  CU_ASSERT_EQUAL (n_askers, 2);
-  pass (&fixture, 10 * KNL_SEC, TRUE);
+    n_followers += sv_confirm_polls_store (fixture.instances[i].confirm);
+  CU_ASSERT_EQUAL (n_followers, 2);
+  advance (&fixture, 10 * KNL_SEC, TRUE);
   for (guint i = 0; i < INSTANCES; i++)
     {
-      CU_ASSERT (age_of (&fixture, &fixture.instances[i]) < TRUST / 2);
-      CU_ASSERT_EQUAL (fixture.instances[i].n_asked_store, 0);
+      CU_ASSERT (age_of (&fixture, &fixture.instances[i]) < MAX_STALENESS / 2);
+      CU_ASSERT_EQUAL (fixture.instances[i].n_store_queries, 0);
     }
   fixture_close (&fixture);
 }
@@ -278,24 +278,24 @@
 static void
 test_late_answers_are_old (void)
 {
-  static const KnlTime held_up = 800 * KNL_MSEC;
+  static const KnlTime answer_delay = 800 * KNL_MSEC;
   Fixture fixture;
   Instance *other;
   KnlTime asked_at;
 
   fixture_open (&fixture);
-  other = choose_other (&fixture);
-  pass (&fixture, 2 * TICK, TRUE);
+  other = choose_non_follower (&fixture);
+  advance (&fixture, 2 * REQUEST_INTERVAL, TRUE);
   /* Requests are sent now, and no instance reads for a while, including the one that will answer.
    */
-  pass (&fixture, 2 * TICK - STEP, FALSE);
+  advance (&fixture, 2 * REQUEST_INTERVAL - STEP, FALSE);
   knl_paused_clock_advance (fixture.clock, STEP);
   asked_at = knl_kernel_now (fixture.kernel);
-  confirm_askers (&fixture);
-  knl_paused_clock_advance (fixture.clock, held_up);
-  turn (&fixture);
-  CU_ASSERT (other->confirmed_at <= asked_at - held_up);
-  CU_ASSERT (other->confirmed_at > asked_at - TICK);
+  confirm_followers (&fixture);
+  knl_paused_clock_advance (fixture.clock, answer_delay);
+  run_loop (&fixture);
+  CU_ASSERT (other->confirmed_at <= asked_at - answer_delay);
+  CU_ASSERT (other->confirmed_at > asked_at - REQUEST_INTERVAL);
   fixture_close (&fixture);
 }
 
@@ -313,13 +313,13 @@
   KnlTime last;
 
   fixture_open (&fixture);
-  other = choose_other (&fixture);
-  pass (&fixture, 2 * KNL_SEC, TRUE);
+  other = choose_non_follower (&fixture);
+  advance (&fixture, 2 * KNL_SEC, TRUE);
   last = knl_kernel_now (fixture.kernel);
-  pass (&fixture, 6 * KNL_SEC, FALSE);
+  advance (&fixture, 6 * KNL_SEC, FALSE);
   for (guint i = 0; i < INSTANCES; i++)
     CU_ASSERT (fixture.instances[i].confirmed_at <= last);
-  CU_ASSERT (other->n_asked_store > 0);
+  CU_ASSERT (other->n_store_queries > 0);
   fixture_close (&fixture);
 }
 
@@ -334,7 +334,7 @@
   static const struct
   {
     guint64 version;
-    gboolean asks;
+    gboolean expects_query;
   } rows[] = { { 6, FALSE }, { 8, TRUE } };
 
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
@@ -344,16 +344,16 @@
       KnlTime before;
 
       fixture_open (&fixture);
-      other = choose_other (&fixture);
+      other = choose_non_follower (&fixture);
       before = other->confirmed_at;
       for (guint j = 0; j < INSTANCES; j++)
         {
-          if (sv_confirm_asks_store (fixture.instances[j].confirm))
+          if (sv_confirm_polls_store (fixture.instances[j].confirm))
             fixture.instances[j].version = rows[i].version;
         }
-      pass (&fixture, 3 * TICK, TRUE);
+      advance (&fixture, 3 * REQUEST_INTERVAL, TRUE);
       CU_ASSERT_EQUAL (other->confirmed_at, before);
-      CU_ASSERT_EQUAL (other->n_asked_store > 0, rows[i].asks);
+      CU_ASSERT_EQUAL (other->n_store_queries > 0, rows[i].expects_query);
       fixture_close (&fixture);
     }
 }
@@ -361,24 +361,24 @@
 /* Guards against a cell that queries the store while its followers are already sending it the
  * update. */
 static void
-test_news_under_way_are_not_asked_for (void)
+test_updates_on_their_way_are_not_requested (void)
 {
   Fixture fixture;
   Instance *other;
 
   fixture_open (&fixture);
-  other = choose_other (&fixture);
+  other = choose_non_follower (&fixture);
   for (guint j = 0; j < INSTANCES; j++)
     {
-      if (sv_confirm_asks_store (fixture.instances[j].confirm))
+      if (sv_confirm_polls_store (fixture.instances[j].confirm))
         fixture.instances[j].version = 8;
     }
-  for (KnlTime passed = 0; passed < 3 * TICK; passed += STEP)
+  for (KnlTime passed = 0; passed < 3 * REQUEST_INTERVAL; passed += STEP)
     {
-      other->endpoints_heard_at = knl_kernel_now (fixture.kernel);
-      pass (&fixture, STEP, TRUE);
+      other->endpoints_last_seen_at = knl_kernel_now (fixture.kernel);
+      advance (&fixture, STEP, TRUE);
     }
-  CU_ASSERT_EQUAL (other->n_asked_store, 0);
+  CU_ASSERT_EQUAL (other->n_store_queries, 0);
   fixture_close (&fixture);
 }
 
@@ -388,22 +388,22 @@
  * Cause: only the request's own timeout of some seconds ended it.
  */
 static void
-test_newer_endpoints_are_asked_for (void)
+test_newer_endpoints_are_requested (void)
 {
   Fixture fixture;
   Instance *other;
 
   fixture_open (&fixture);
-  other = choose_other (&fixture);
-  pass (&fixture, 2 * TICK, TRUE);
-  CU_ASSERT_EQUAL (other->n_asked_endpoints, 0);
+  other = choose_non_follower (&fixture);
+  advance (&fixture, 2 * REQUEST_INTERVAL, TRUE);
+  CU_ASSERT_EQUAL (other->n_endpoint_queries, 0);
   for (guint i = 0; i < INSTANCES; i++)
     {
       if (&fixture.instances[i] != other)
         fixture.instances[i].endpoints = 12;
     }
-  pass (&fixture, 2 * TICK, TRUE);
-  CU_ASSERT (other->n_asked_endpoints > 0);
+  advance (&fixture, 2 * REQUEST_INTERVAL, TRUE);
+  CU_ASSERT (other->n_endpoint_queries > 0);
   fixture_close (&fixture);
 }
 
@@ -421,34 +421,34 @@
   fixture_open_in (&fixture, "b");
   for (guint i = INSTANCES - 2; i < INSTANCES; i++)
     sv_peers_set_cut_off (fixture.instances[i].peers, TRUE);
-  for (KnlTime passed = 0; passed < 2 * TRUST; passed += STEP)
+  for (KnlTime passed = 0; passed < 2 * MAX_STALENESS; passed += STEP)
     {
       for (guint i = 0; i < INSTANCES - 2; i++)
         fixture.instances[i].confirmed_at = knl_kernel_now (fixture.kernel);
-      pass (&fixture, STEP, FALSE);
+      advance (&fixture, STEP, FALSE);
       for (guint i = INSTANCES - 2; i < INSTANCES; i++)
-        CU_ASSERT (age_of (&fixture, &fixture.instances[i]) < TRUST);
+        CU_ASSERT (age_of (&fixture, &fixture.instances[i]) < MAX_STALENESS);
     }
   fixture_close (&fixture);
 }
 
 /* Guards against an answer, of any age, from an instance that was never confirmed. */
 static void
-test_who_was_never_confirmed_confirms_nothing (void)
+test_a_never_confirmed_instance_confirms_nothing (void)
 {
   Fixture fixture;
   Instance *other;
   KnlTime before;
 
   fixture_open (&fixture);
-  other = choose_other (&fixture);
+  other = choose_non_follower (&fixture);
   before = other->confirmed_at;
   for (guint i = 0; i < INSTANCES; i++)
     {
       if (&fixture.instances[i] != other)
         fixture.instances[i].confirmed_at = -KNL_NEVER;
     }
-  pass (&fixture, 3 * TICK, FALSE);
+  advance (&fixture, 3 * REQUEST_INTERVAL, FALSE);
   CU_ASSERT_EQUAL (other->confirmed_at, before);
   fixture_close (&fixture);
 }
@@ -460,8 +460,8 @@
   static const struct
   {
     guint64 era; /* of those that query the store; the other one is in era 2 */
-    gboolean confirms;
-    gboolean asks; /* queries the store for the update that it missed */
+    gboolean expects_confirmation;
+    gboolean expects_query; /* queries the store for the update that it missed */
   } rows[] = { { 2, TRUE, FALSE }, { 3, FALSE, TRUE }, { 1, FALSE, FALSE }, { 0, FALSE, FALSE } };
 
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
@@ -471,17 +471,17 @@
       KnlTime before;
 
       fixture_open (&fixture);
-      other = choose_other (&fixture);
+      other = choose_non_follower (&fixture);
       before = other->confirmed_at;
       for (guint j = 0; j < INSTANCES; j++)
         {
           Instance *instance = &fixture.instances[j];
 
-          instance->era = sv_confirm_asks_store (instance->confirm) ? rows[i].era : 2;
+          instance->era = sv_confirm_polls_store (instance->confirm) ? rows[i].era : 2;
         }
-      pass (&fixture, 3 * TICK, TRUE);
-      CU_ASSERT_EQUAL (other->confirmed_at > before, rows[i].confirms);
-      CU_ASSERT_EQUAL (other->n_asked_store > 0, rows[i].asks);
+      advance (&fixture, 3 * REQUEST_INTERVAL, TRUE);
+      CU_ASSERT_EQUAL (other->confirmed_at > before, rows[i].expects_confirmation);
+      CU_ASSERT_EQUAL (other->n_store_queries > 0, rows[i].expects_query);
       fixture_close (&fixture);
     }
 }
@@ -495,7 +495,7 @@
   KnlTime before;
 
   fixture_open (&fixture);
-  other = choose_other (&fixture);
+  other = choose_non_follower (&fixture);
   before = knl_kernel_now (fixture.kernel);
   other->version = 6;
   for (guint j = 0; j < INSTANCES; j++)
@@ -504,34 +504,35 @@
 
       sv_peers_set_versions (instance->peers, instance->version, (SvPosition){ 0 });
     }
-  pass (&fixture, KNL_SEC, TRUE);
-  CU_ASSERT_TRUE (sv_confirm_lacks_config (other->confirm, knl_kernel_now (fixture.kernel)));
+  advance (&fixture, KNL_SEC, TRUE);
+  CU_ASSERT_TRUE (sv_confirm_store_lost_config (other->confirm, knl_kernel_now (fixture.kernel)));
   /* An answer from before any peer had the newer version is no contradiction. */
-  CU_ASSERT_FALSE (sv_confirm_lacks_config (other->confirm, before));
+  CU_ASSERT_FALSE (sv_confirm_store_lost_config (other->confirm, before));
   other->version = 7;
-  CU_ASSERT_FALSE (sv_confirm_lacks_config (other->confirm, knl_kernel_now (fixture.kernel)));
+  CU_ASSERT_FALSE (sv_confirm_store_lost_config (other->confirm, knl_kernel_now (fixture.kernel)));
   other->version = 6;
   for (guint j = 0; j < INSTANCES; j++)
     {
       fixture.instances[j].version = 6;
       sv_peers_set_versions (fixture.instances[j].peers, 6, (SvPosition){ 0 });
     }
-  pass (&fixture, 31 * KNL_SEC, TRUE);
-  CU_ASSERT_FALSE (sv_confirm_lacks_config (other->confirm, knl_kernel_now (fixture.kernel)));
+  advance (&fixture, 31 * KNL_SEC, TRUE);
+  CU_ASSERT_FALSE (sv_confirm_store_lost_config (other->confirm, knl_kernel_now (fixture.kernel)));
   fixture_close (&fixture);
 }
 
 static const SuiteCase cases[] = {
   { "other zones confirm", test_other_zones_confirm },
-  { "few query the store and all are confirmed", test_few_ask_and_all_know },
+  { "few query the store and all are confirmed", test_few_query_the_store_and_all_are_confirmed },
   { "late answers are old", test_late_answers_are_old },
   { "ages add up", test_ages_add_up },
   { "other versions confirm nothing", test_other_versions_confirm_nothing },
-  { "updates on their way are not requested", test_news_under_way_are_not_asked_for },
+  { "updates on their way are not requested", test_updates_on_their_way_are_not_requested },
   { "other eras confirm nothing", test_other_eras_confirm_nothing },
   { "a lost configuration is remembered", test_a_lost_configuration_is_remembered },
-  { "newer endpoints are requested", test_newer_endpoints_are_asked_for },
-  { "a never confirmed instance confirms nothing", test_who_was_never_confirmed_confirms_nothing },
+  { "newer endpoints are requested", test_newer_endpoints_are_requested },
+  { "a never confirmed instance confirms nothing",
+    test_a_never_confirmed_instance_confirms_nothing },
 };
 
 SUITE_MAIN ("sv_confirm", cases)
--- a/tests/unit/sv_core_test.c
+++ b/tests/unit/sv_core_test.c
@@ -162,14 +162,14 @@
   sv_fixture_use_config (&fixture, 1, "key");
   for (guint i = 0; i < row->n_endpoints; i++)
     sv_fixture_add_endpoint (&fixture, i + 1 < row->n_endpoints ? &row->first : &row->last, 1);
-  sv_fixture_ask (&fixture, row->path);
+  sv_fixture_request (&fixture, row->path);
   sv_fixture_wait_for (&fixture, row->wanted);
-  if (strstr (fixture.got->str, row->wanted) == NULL
+  if (strstr (fixture.received->str, row->wanted) == NULL
       || sv_fixture_all_requests (&fixture) != row->requests)
     printf ("%s: %u requests, got %s\n", row->name, sv_fixture_all_requests (&fixture),
-            fixture.got->str);
-  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, row->wanted));
-  CU_ASSERT_TRUE (row->unwanted == NULL || strstr (fixture.got->str, row->unwanted) == NULL);
+            fixture.received->str);
+  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.received->str, row->wanted));
+  CU_ASSERT_TRUE (row->unwanted == NULL || strstr (fixture.received->str, row->unwanted) == NULL);
   CU_ASSERT_EQUAL (sv_fixture_all_requests (&fixture), row->requests);
   CU_ASSERT_EQUAL (sv_core_n_requests (fixture.core), 0);
   sv_fixture_close (&fixture);
@@ -188,7 +188,7 @@
  * events were forwarded, or that the second run started from the first event.
  */
 static void
-test_broken_stream_goes_on (void)
+test_broken_stream_resumes (void)
 {
   static const ScriptedAnswer broken = {
     "HTTP/1.1 200 OK\r\n" SIGNED "Transfer-Encoding: chunked\r\n\r\n"
@@ -206,13 +206,13 @@
   sv_fixture_use_config (&fixture, 1, "key");
   sv_fixture_add_endpoint (&fixture, &broken, 1);
   sv_fixture_add_endpoint (&fixture, &rest, 1);
-  sv_fixture_ask (&fixture, "/stream/1");
+  sv_fixture_request (&fixture, "/stream/1");
   sv_fixture_wait_for (&fixture, "\r\n0\r\n\r\n");
   CU_ASSERT_STRING_EQUAL (scripted_endpoint_field (fixture.endpoints[1], "last-event-id"), "2");
   for (guint i = 1; i <= 4; i++)
     {
       g_autofree char *event = g_strdup_printf ("id: %u\n", i);
-      const char *at = strstr (fixture.got->str, event);
+      const char *at = strstr (fixture.received->str, event);
 
       CU_ASSERT_TRUE (at != NULL && strstr (at + 1, event) == NULL);
     }
@@ -244,13 +244,13 @@
       sv_fixture_use_config (&fixture, 1, "key");
       sv_fixture_add_endpoint (&fixture, &broken, 1);
       sv_fixture_add_endpoint (&fixture, &others[i], 1);
-      sv_fixture_ask (&fixture, "/stream/1");
+      sv_fixture_request (&fixture, "/stream/1");
       while (!fixture.ended)
         event_base_loop (fixture.base, EVLOOP_ONCE);
       CU_ASSERT_EQUAL (sv_fixture_all_requests (&fixture), 2);
-      CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "id: 1"));
-      CU_ASSERT_PTR_NULL (strstr (fixture.got->str, "bad"));
-      CU_ASSERT_PTR_NULL (strstr (fixture.got->str, "0\r\n\r\n"));
+      CU_ASSERT_PTR_NOT_NULL (strstr (fixture.received->str, "id: 1"));
+      CU_ASSERT_PTR_NULL (strstr (fixture.received->str, "bad"));
+      CU_ASSERT_PTR_NULL (strstr (fixture.received->str, "0\r\n\r\n"));
       sv_fixture_close (&fixture);
     }
 }
@@ -267,20 +267,20 @@
 
   sv_fixture_open (&fixture);
   sv_fixture_add_endpoint (&fixture, &good, 1);
-  sv_fixture_ask (&fixture, "/once/1");
+  sv_fixture_request (&fixture, "/once/1");
   sv_fixture_wait_for (&fixture, "\r\n\r\n");
-  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "HTTP/1.1 503"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.received->str, "HTTP/1.1 503"));
   sv_fixture_use_config (&fixture, 1, "key");
-  sv_fixture_ask (&fixture, "/once/1");
+  sv_fixture_request (&fixture, "/once/1");
   sv_fixture_wait_for (&fixture, "good");
   knl_paused_clock_advance (fixture.clock, 2900 * KNL_MSEC);
-  sv_fixture_ask (&fixture, "/once/1");
+  sv_fixture_request (&fixture, "/once/1");
   sv_fixture_wait_for (&fixture, "good");
   knl_paused_clock_advance (fixture.clock, 200 * KNL_MSEC);
   CU_ASSERT_FALSE (sv_core_is_ready (fixture.core));
-  sv_fixture_ask (&fixture, "/once/1");
+  sv_fixture_request (&fixture, "/once/1");
   sv_fixture_wait_for (&fixture, "\r\n\r\n");
-  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "HTTP/1.1 503"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.received->str, "HTTP/1.1 503"));
   CU_ASSERT_EQUAL (sv_fixture_all_requests (&fixture), 2);
   sv_fixture_close (&fixture);
 }
@@ -295,19 +295,19 @@
   sv_fixture_open (&fixture);
   sv_fixture_add_endpoint (&fixture, &good, 1);
   sv_fixture_use_config (&fixture, 1, "other");
-  sv_fixture_ask (&fixture, "/once/1");
+  sv_fixture_request (&fixture, "/once/1");
   sv_fixture_wait_for (&fixture, "\r\n\r\n");
-  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "HTTP/1.1 401"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.received->str, "HTTP/1.1 401"));
   knl_paused_clock_advance (fixture.clock, 1100 * KNL_MSEC);
-  sv_fixture_ask (&fixture, "/once/1");
+  sv_fixture_request (&fixture, "/once/1");
   sv_fixture_wait_for (&fixture, "\r\n\r\n");
-  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "HTTP/1.1 503"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.received->str, "HTTP/1.1 503"));
   sv_fixture_use_config (&fixture, 2, "key");
-  sv_fixture_ask (&fixture, "/once/1");
+  sv_fixture_request (&fixture, "/once/1");
   sv_fixture_wait_for (&fixture, "good");
   /* An older configuration that arrives late is ignored. */
   sv_fixture_use_config (&fixture, 1, "other");
-  sv_fixture_ask (&fixture, "/once/1");
+  sv_fixture_request (&fixture, "/once/1");
   sv_fixture_wait_for (&fixture, "good");
   sv_fixture_close (&fixture);
 }
@@ -318,7 +318,7 @@
  * stopped reading the connection after the first request.
  */
 static void
-test_leaving_caller_is_noticed (void)
+test_caller_disconnection_is_noticed (void)
 {
   static const ScriptedAnswer silent = { NULL, FALSE };
   SvFixture fixture;
@@ -326,7 +326,7 @@
   sv_fixture_open (&fixture);
   sv_fixture_use_config (&fixture, 1, "key");
   sv_fixture_add_endpoint (&fixture, &silent, 1);
-  sv_fixture_ask (&fixture, "/once/1");
+  sv_fixture_request (&fixture, "/once/1");
   sv_fixture_send (&fixture, "POST /once/2 HTTP/1.1\r\nHost:");
   sv_fixture_wait_requests (&fixture, 0, 1);
   g_clear_pointer (&fixture.caller, bufferevent_free);
@@ -342,26 +342,26 @@
  * urgency sent to endpoints showed only lateness and ignored the configured priorities.
  */
 static void
-test_priorities_are_told (void)
+test_priorities_are_sent (void)
 {
   static const struct
   {
     const char *path;
     const char *urgency;
-  } asks[] = { { "/once/1", "5" }, { "/again/1", "7" } };
+  } routes[] = { { "/once/1", "5" }, { "/again/1", "7" } };
   static const ScriptedAnswer silent = { NULL, FALSE };
 
-  for (guint i = 0; i < G_N_ELEMENTS (asks); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (routes); i++)
     {
       SvFixture fixture;
 
       sv_fixture_open (&fixture);
       sv_fixture_use_config (&fixture, 1, "key");
       sv_fixture_add_endpoint (&fixture, &silent, 1);
-      sv_fixture_ask (&fixture, asks[i].path);
+      sv_fixture_request (&fixture, routes[i].path);
       sv_fixture_wait_requests (&fixture, 0, 1);
       CU_ASSERT_STRING_EQUAL (scripted_endpoint_field (fixture.endpoints[0], "x-request-urgency"),
-                              asks[i].urgency);
+                              routes[i].urgency);
       sv_fixture_close (&fixture);
     }
 }
@@ -376,7 +376,7 @@
   sv_fixture_open (&fixture);
   sv_fixture_use_config (&fixture, 1, "key");
   sv_fixture_add_endpoint (&fixture, &silent, 1);
-  sv_fixture_ask (&fixture, "/once/1");
+  sv_fixture_request (&fixture, "/once/1");
   sv_fixture_wait_requests (&fixture, 0, 1);
   CU_ASSERT_STRING_EQUAL (scripted_endpoint_field (fixture.endpoints[0], "x-deadline-ms"), "4000");
   CU_ASSERT_STRING_EQUAL (scripted_endpoint_field (fixture.endpoints[0], "x-expect-instance"),
@@ -385,18 +385,18 @@
   CU_ASSERT_PTR_NULL (scripted_endpoint_field (fixture.endpoints[0], "authorization"));
   knl_paused_clock_advance (fixture.clock, 4 * KNL_SEC);
   sv_fixture_wait_for (&fixture, "\r\n\r\n");
-  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "HTTP/1.1 504"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.received->str, "HTTP/1.1 504"));
   sv_fixture_close (&fixture);
 }
 
 static const SuiteCase cases[] = {
   { "endpoints that fail", test_endpoints_that_fail },
-  { "a broken stream resumes", test_broken_stream_goes_on },
+  { "a broken stream resumes", test_broken_stream_resumes },
   { "a broken stream is not mixed", test_broken_stream_is_not_mixed },
   { "keys need confirmation", test_keys_need_confirmation },
   { "denied only when certain", test_denied_only_when_certain },
-  { "a caller's disconnection is noticed", test_leaving_caller_is_noticed },
-  { "priorities are sent to endpoints", test_priorities_are_told },
+  { "a caller's disconnection is noticed", test_caller_disconnection_is_noticed },
+  { "priorities are sent to endpoints", test_priorities_are_sent },
   { "the deadline is answered", test_deadline_is_answered },
 };
 
--- a/tests/unit/sv_ends_test.c
+++ b/tests/unit/sv_ends_test.c
@@ -33,7 +33,7 @@
   sv_fixture_use_config (&fixture, 1, "key");
   sv_fixture_add_endpoint (&fixture, &silent, 1);
   sv_fixture_add_endpoint (&fixture, &silent, 1);
-  sv_fixture_ask (&fixture, "/stream/1");
+  sv_fixture_request (&fixture, "/stream/1");
   while (sv_fixture_all_requests (&fixture) == 0)
     event_base_loop (fixture.base, EVLOOP_ONCE);
   for (guint i = 0; i < 30; i++)
@@ -44,7 +44,7 @@
   CU_ASSERT_EQUAL (scripted_endpoint_n_ended (fixture.endpoints[0])
                        + scripted_endpoint_n_ended (fixture.endpoints[1]),
                    0);
-  CU_ASSERT_EQUAL (fixture.got->len, 0);
+  CU_ASSERT_EQUAL (fixture.received->len, 0);
   sv_fixture_close (&fixture);
 }
 
@@ -59,7 +59,7 @@
   sv_fixture_use_config (&fixture, 1, "key");
   sv_fixture_add_endpoint (&fixture, &silent, 1);
   sv_fixture_add_endpoint (&fixture, &good, 1);
-  sv_fixture_ask (&fixture, "/again/1");
+  sv_fixture_request (&fixture, "/again/1");
   sv_fixture_wait_requests (&fixture, 0, 1);
   knl_paused_clock_advance (fixture.clock, 300 * KNL_MSEC);
   sv_fixture_wait_for (&fixture, "good");
@@ -83,17 +83,17 @@
   sv_fixture_open (&fixture);
   sv_fixture_use_config (&fixture, 1, "key");
   sv_fixture_add_endpoint (&fixture, script, 2);
-  sv_fixture_ask (&fixture, "/again/1");
+  sv_fixture_request (&fixture, "/again/1");
   sv_fixture_wait_for (&fixture, "good");
-  sv_fixture_ask (&fixture, "/again/2");
+  sv_fixture_request (&fixture, "/again/2");
   sv_fixture_wait_for (&fixture, "again");
-  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "again"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.received->str, "again"));
   CU_ASSERT_EQUAL (ht_client_n_opened (fixture.client), 2);
   sv_fixture_close (&fixture);
 }
 
 static void
-on_late (evutil_socket_t fd, short what, void *data)
+on_connect_timeout_passed (evutil_socket_t fd, short what, void *data)
 {
   SvFixture *fixture = data;
   char byte;
@@ -110,7 +110,7 @@
  * instances.
  */
 static void
-test_late_word_of_a_connection (void)
+test_connection_event_after_timeout (void)
 {
   static const char *const paths[] = { "/once/1", "/once-of-two/1" };
 
@@ -125,16 +125,16 @@
       sv_fixture_add_endpoint (&fixture, &good, 1);
       sv_fixture_add_endpoint (&fixture, &good, 1);
       CU_ASSERT_EQUAL_FATAL (socketpair (AF_UNIX, SOCK_STREAM, 0, pair), 0);
-      late = event_new (fixture.base, pair[0], EV_READ, on_late, &fixture);
+      late = event_new (fixture.base, pair[0], EV_READ, on_connect_timeout_passed, &fixture);
       event_add (late, NULL);
-      sv_fixture_ask (&fixture, paths[i]);
+      sv_fixture_request (&fixture, paths[i]);
       while (ht_client_n_opened (fixture.client) == 0)
         event_base_loop (fixture.base, EVLOOP_ONCE);
       /* Becomes readable after the connection, so it is handled after the request's bytes were sent
        * and before the connection event. */
       CU_ASSERT_EQUAL (write (pair[1], "x", 1), 1);
       sv_fixture_wait_for (&fixture, "good");
-      CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "HTTP/1.1 200"));
+      CU_ASSERT_PTR_NOT_NULL (strstr (fixture.received->str, "HTTP/1.1 200"));
       CU_ASSERT_EQUAL (sv_fixture_all_requests (&fixture), 1);
       event_free (late);
       close (pair[0]);
@@ -155,9 +155,9 @@
   sv_core_drain (fixture.core);
   ht_server_drain (fixture.front);
   CU_ASSERT_FALSE (sv_core_is_ready (fixture.core));
-  sv_fixture_ask (&fixture, "/once/1");
+  sv_fixture_request (&fixture, "/once/1");
   sv_fixture_wait_for (&fixture, "good");
-  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "Connection: close\r\n"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.received->str, "Connection: close\r\n"));
   sv_fixture_close (&fixture);
 }
 
@@ -174,12 +174,12 @@
   sv_fixture_open (&fixture);
   sv_fixture_use_config (&fixture, 1, "key");
   sv_fixture_add_endpoint (&fixture, &silent, 1);
-  sv_fixture_ask (&fixture, "/once/1");
+  sv_fixture_request (&fixture, "/once/1");
   sv_fixture_wait_requests (&fixture, 0, 1);
-  sv_core_end_all (fixture.core);
+  sv_core_end_requests (fixture.core);
   CU_ASSERT_EQUAL (sv_core_n_requests (fixture.core), 0);
   sv_fixture_wait_for (&fixture, "\r\n\r\n");
-  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "HTTP/1.1 504"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.received->str, "HTTP/1.1 504"));
   sv_fixture_close (&fixture);
 }
 
@@ -197,10 +197,10 @@
   sv_fixture_open (&fixture);
   sv_fixture_use_config (&fixture, 1, "key");
   sv_fixture_add_endpoint (&fixture, script, 2);
-  sv_fixture_ask (&fixture, "/once/1");
+  sv_fixture_request (&fixture, "/once/1");
   sv_fixture_wait_for (&fixture, "\r\n\r\n");
-  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "HTTP/1.1 503"));
-  sv_fixture_ask (&fixture, "/once/2");
+  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.received->str, "HTTP/1.1 503"));
+  sv_fixture_request (&fixture, "/once/2");
   sv_fixture_wait_for (&fixture, "good");
   CU_ASSERT_EQUAL (sv_fixture_all_requests (&fixture), 2);
   sv_fixture_close (&fixture);
@@ -208,7 +208,7 @@
 
 static const SuiteCase cases[] = {
   { "a silent endpoint is kept without a retry", test_silent_endpoint_is_kept_without_a_retry },
-  { "a connection event handled after the timeout", test_late_word_of_a_connection },
+  { "a connection event handled after the timeout", test_connection_event_after_timeout },
   { "a silent endpoint is left", test_silent_endpoint_is_left },
   { "left-over bytes", test_left_over_bytes },
   { "stopping", test_stopping },
--- a/tests/unit/sv_era_test.c
+++ b/tests/unit/sv_era_test.c
@@ -5,8 +5,8 @@
 #include "suite.h"
 #include "sv_fixture.h"
 
-#define LEAVES 1
-#define LAPSED 2
+#define LEAVING 1
+#define MISSING 2
 
 static SvEndpoint *
 endpoint_of (const SvFixture *self, guint index)
@@ -26,7 +26,7 @@
 /* Applies the list as the store sends it in an era, with all entries at `version` and the first `n`
  * of the endpoints. */
 static void
-tell_list (SvFixture *self, guint64 era, guint64 version, guint n)
+apply_list (SvFixture *self, guint64 era, guint64 version, guint n)
 {
   sv_fleet_begin_list (self->fleet);
   for (guint i = 0; i < n; i++)
@@ -51,7 +51,7 @@
   guint losses;
   double limit;
   KnlTime read_left;
-  KnlTime rests_until;
+  KnlTime retry_after_until;
   SvEndpointState state;
 } Known;
 
@@ -68,27 +68,27 @@
     .calls = endpoint->own.calls,
     .losses = endpoint->health.losses,
     .limit = endpoint->limit.rate,
-    .read_left = sv_endpoint_read_left (endpoint, knl_kernel_now (self->kernel)),
-    .rests_until = endpoint->rests_until,
+    .read_left = sv_endpoint_prefill_left (endpoint, knl_kernel_now (self->kernel)),
+    .retry_after_until = endpoint->retry_after_until,
     .state = endpoint->state,
   };
 }
 
 static void
-learn (SvFixture *self)
+set_known_state (SvFixture *self)
 {
-  static const SvRead read = { .prompt = 7, .length = 5 * KNL_SEC, .until_told = TRUE };
+  static const SvPrefill read = { .prompt = 7, .length = 5 * KNL_SEC, .until_told = TRUE };
   static const SvReply leaving = {
     .status = 200, .is_signed = TRUE, .is_leaving = TRUE, .limit = POL_NO_LIMIT
   };
   static const SvReply rest = { .status = 503, .rest = 3 * KNL_SEC, .limit = POL_NO_LIMIT };
   KnlTime now = knl_kernel_now (self->kernel);
 
-  sv_fleet_add_read (self->fleet, &read, &endpoint_of (self, 0)->key, 1);
+  sv_fleet_add_prefill (self->fleet, &read, &endpoint_of (self, 0)->key, 1);
   sv_endpoint_note_limit (endpoint_of (self, 0), 2.5, now);
-  sv_reply_note_words (&leaving, endpoint_of (self, LEAVES), now);
-  sv_reply_note_words (&rest, endpoint_of (self, LAPSED), now);
-  sv_endpoint_note_loss (endpoint_of (self, LAPSED), now);
+  sv_reply_note_signals (&leaving, endpoint_of (self, LEAVING), now);
+  sv_reply_note_signals (&rest, endpoint_of (self, MISSING), now);
+  sv_endpoint_note_loss (endpoint_of (self, MISSING), now);
 }
 
 /* Guards against requests that end, and loads, losses and advertised signals that are lost, when
@@ -100,24 +100,24 @@
   static const ScriptedAnswer good = { "HTTP/1.1 200 OK\r\n" SIGNED "Content-Length: 4\r\n\r\ngood",
                                        FALSE };
   SvFixture fixture;
-  Known before[ENDPOINTS_MOST];
+  Known before[MAX_ENDPOINTS];
 
   sv_fixture_open (&fixture);
   sv_fixture_use_config (&fixture, 1, "key");
   sv_fixture_add_endpoint (&fixture, &silent, 1);
-  for (guint i = 1; i < ENDPOINTS_MOST; i++)
+  for (guint i = 1; i < MAX_ENDPOINTS; i++)
     sv_fixture_add_endpoint (&fixture, &good, 1);
-  tell_list (&fixture, 1, 90, ENDPOINTS_MOST);
-  sv_fixture_ask (&fixture, "/once/1");
+  apply_list (&fixture, 1, 90, MAX_ENDPOINTS);
+  sv_fixture_request (&fixture, "/once/1");
   sv_fixture_wait_requests (&fixture, 0, 1);
-  learn (&fixture);
-  for (guint i = 0; i < ENDPOINTS_MOST; i++)
+  set_known_state (&fixture);
+  for (guint i = 0; i < MAX_ENDPOINTS; i++)
     before[i] = known_of (&fixture, i);
   /* The restored copy lacks the newest endpoint, which is then written again. */
-  tell_list (&fixture, 2, 40, LAPSED);
-  CU_ASSERT_EQUAL (endpoint_of (&fixture, LAPSED)->state, SV_ENDPOINT_LEAVING);
-  tell_list (&fixture, 2, 41, ENDPOINTS_MOST);
-  for (guint i = 0; i < ENDPOINTS_MOST; i++)
+  apply_list (&fixture, 2, 40, MISSING);
+  CU_ASSERT_EQUAL (endpoint_of (&fixture, MISSING)->state, SV_ENDPOINT_LEAVING);
+  apply_list (&fixture, 2, 41, MAX_ENDPOINTS);
+  for (guint i = 0; i < MAX_ENDPOINTS; i++)
     {
       Known after = known_of (&fixture, i);
 
@@ -126,12 +126,12 @@
       CU_ASSERT_EQUAL (after.losses, before[i].losses);
       CU_ASSERT_EQUAL (after.limit, before[i].limit);
       CU_ASSERT_EQUAL (after.read_left, before[i].read_left);
-      CU_ASSERT_EQUAL (after.rests_until, before[i].rests_until);
+      CU_ASSERT_EQUAL (after.retry_after_until, before[i].retry_after_until);
       CU_ASSERT_EQUAL (after.state, before[i].state);
     }
   CU_ASSERT_EQUAL (before[0].calls, 1);
   CU_ASSERT (before[0].read_left > 0);
-  CU_ASSERT_EQUAL (before[LEAVES].state, SV_ENDPOINT_LEAVING);
+  CU_ASSERT_EQUAL (before[LEAVING].state, SV_ENDPOINT_LEAVING);
   CU_ASSERT_EQUAL (sv_core_n_requests (fixture.core), 1);
   CU_ASSERT_FALSE (fixture.ended);
   sv_fixture_close (&fixture);
--- a/tests/unit/sv_fixture.c
+++ b/tests/unit/sv_fixture.c
@@ -6,15 +6,15 @@
 #include "platform/dialect.h"
 
 /* Time limit of a test, long enough that a slow machine doesn't exceed it. */
-#define STUCK_S 20
+#define TEST_TIMEOUT_S 20
 
 static void
-link_read_placed (SvPeerLink *link, const SvRead *read, const guint64 *keys, guint n)
+link_prefill_placed (SvPeerLink *link, const SvPrefill *read, const guint64 *keys, guint n)
 {
 }
 
 static void
-link_read_ended (SvPeerLink *link, guint64 prompt)
+link_prefill_ended (SvPeerLink *link, guint64 prompt)
 {
 }
 
@@ -40,30 +40,30 @@
 }
 
 static const SvPeerLinkClass link_class = {
-  .read_placed = link_read_placed,
-  .read_ended = link_read_ended,
+  .prefill_placed = link_prefill_placed,
+  .prefill_ended = link_prefill_ended,
   .load_changed = link_load_changed,
   .suspect = link_suspect,
   .health_changed = link_health_changed,
   .n_instances = link_n_instances,
 };
 
-static SvPeerLink alone = { &link_class };
+static SvPeerLink peer_link = { &link_class };
 
 const SvEngineSpec sv_fixture_small_engine = {
   .slots = 4,
   .memory_tokens = 100000,
   .stride = 50,
   .step_ms = 1,
-  .read_tokens_per_ms = 180,
+  .prefill_tokens_per_ms = 180,
   .pair_ms_per_m = 0.18,
   .chunk = 2048,
-  .usual_prompt = 10000,
-  .usual_answer = 100,
+  .mean_prompt_tokens = 10000,
+  .mean_answer_tokens = 100,
 };
 
 static void
-on_stuck (evutil_socket_t fd, short what, void *data)
+on_test_timeout (evutil_socket_t fd, short what, void *data)
 {
   g_error ("test did not finish in time");
 }
@@ -71,16 +71,16 @@
 static void
 on_request (HtCall *call, gpointer data)
 {
-  sv_core_take (((SvFixture *)data)->core, call);
+  sv_core_handle_request (((SvFixture *)data)->core, call);
 }
 
 static void
 on_gone (HtCall *call, gpointer data)
 {
-  sv_core_gone (((SvFixture *)data)->core, call);
+  sv_core_note_disconnect (((SvFixture *)data)->core, call);
 }
 
-static const HtServerEvents front_events = { .request = on_request, .gone = on_gone };
+static const HtServerEvents front_events = { .request = on_request, .disconnected = on_gone };
 
 static void
 add_route (SvConfig *config, const char *prefix, SvRouteKind kind, guint attempts)
@@ -157,7 +157,7 @@
     .request_timeout = 3 * KNL_SEC,
     .idle_timeout = 15 * KNL_SEC,
     .max_connections = 10,
-    .max_unsent = HT_UNSENT_BYTES,
+    .max_unsent = HT_DEFAULT_MAX_UNSENT,
   };
   SvCoreParts parts;
 
@@ -165,7 +165,7 @@
   self->dialect = pl_dialect_new ();
   self->fleet = sv_fleet_new (self->kernel, KNL_SEC);
   self->metrics = cm_metrics_new ();
-  parts = (SvCoreParts){ self->kernel,  self->client, self->dialect, self->fleet, &alone,
+  parts = (SvCoreParts){ self->kernel,  self->client, self->dialect, self->fleet, &peer_link,
                          self->metrics, "a" };
   self->core = sv_core_new (&parts, &bounds);
   /* A new instance has no slack in its retry budget yet; it has after one window. */
@@ -182,15 +182,15 @@
 void
 sv_fixture_open (SvFixture *self)
 {
-  struct timeval limit = { .tv_sec = STUCK_S };
+  struct timeval limit = { .tv_sec = TEST_TIMEOUT_S };
 
   *self = (SvFixture){ .base = event_base_new (), .clock = knl_paused_clock_new () };
-  self->stuck = evtimer_new (self->base, on_stuck, NULL);
-  evtimer_add (self->stuck, &limit);
+  self->test_timeout = evtimer_new (self->base, on_test_timeout, NULL);
+  evtimer_add (self->test_timeout, &limit);
   /* Time 0 means "never" in many fields, so the test starts later. */
   knl_paused_clock_advance (self->clock, 100 * KNL_SEC);
   self->kernel = knl_kernel_new (knl_paused_clock_runtime (self->clock), 5);
-  self->got = g_string_new (NULL);
+  self->received = g_string_new (NULL);
   open_core (self);
 }
 
@@ -233,9 +233,9 @@
   cm_metrics_free (self->metrics);
   knl_kernel_free (self->kernel);
   knl_paused_clock_free (self->clock);
-  event_free (self->stuck);
+  event_free (self->test_timeout);
   event_base_free (self->base);
-  g_string_free (self->got, TRUE);
+  g_string_free (self->received, TRUE);
   g_free (self->address);
 }
 
@@ -246,7 +246,7 @@
   struct evbuffer *input = bufferevent_get_input (stream);
   gsize length = evbuffer_get_length (input);
 
-  g_string_append_len (self->got, (const char *)evbuffer_pullup (input, -1), (gssize)length);
+  g_string_append_len (self->received, (const char *)evbuffer_pullup (input, -1), (gssize)length);
   evbuffer_drain (input, length);
 }
 
@@ -275,19 +275,19 @@
 }
 
 void
-sv_fixture_ask (SvFixture *self, const char *path)
+sv_fixture_request (SvFixture *self, const char *path)
 {
   g_autofree char *request =
       g_strdup_printf ("POST %s HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\nX-Deadline-Ms: 4000\r\n"
                        "Authorization: Bearer key\r\nContent-Length: 2\r\n\r\nhi",
                        path);
 
-  g_string_truncate (self->got, 0);
+  g_string_truncate (self->received, 0);
   sv_fixture_send (self, request);
 }
 
 void
-sv_fixture_ask_prompt (SvFixture *self, const char *path, guint64 tokens)
+sv_fixture_request_prompt (SvFixture *self, const char *path, guint64 tokens)
 {
   g_autofree char *request =
       g_strdup_printf ("POST %s HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\nX-Deadline-Ms: 15000\r\n"
@@ -295,14 +295,14 @@
                        "Authorization: Bearer key\r\nContent-Length: 2\r\n\r\nhi",
                        path, tokens);
 
-  g_string_truncate (self->got, 0);
+  g_string_truncate (self->received, 0);
   sv_fixture_send (self, request);
 }
 
 void
 sv_fixture_wait_for (SvFixture *self, const char *text)
 {
-  while (strstr (self->got->str, text) == NULL && !self->ended)
+  while (strstr (self->received->str, text) == NULL && !self->ended)
     {
       event_base_loop (self->base, EVLOOP_ONCE);
       knl_kernel_run_due (self->kernel);
--- a/tests/unit/sv_fixture.h
+++ b/tests/unit/sv_fixture.h
@@ -12,12 +12,12 @@
 /** Header fields that sign an answer as the endpoint's own. */
 #define SIGNED "X-Attempt-Id: %ID\r\nX-Server-Stamp: s\r\n"
 
-#define ENDPOINTS_MOST 3
+#define MAX_ENDPOINTS 3
 
 typedef struct
 {
   struct event_base *base;
-  struct event *stuck;
+  struct event *test_timeout;
   KnlPausedClock *clock;
   KnlKernel *kernel;
   HtClient *client;
@@ -27,11 +27,11 @@
   SvCore *core;
   HtServer *front;
   char *address;
-  ScriptedEndpoint *endpoints[ENDPOINTS_MOST];
+  ScriptedEndpoint *endpoints[MAX_ENDPOINTS];
   guint n_endpoints;
 
   struct bufferevent *caller;
-  GString *got;
+  GString *received;
   gboolean ended;
 } SvFixture;
 
@@ -58,10 +58,10 @@
 
 /** Sends a full request with the key "key" and a deadline of 4 s; drops what was received before.
  */
-void sv_fixture_ask (SvFixture *self, const char *path);
+void sv_fixture_request (SvFixture *self, const char *path);
 
 /** The same for a prompt of `tokens` tokens, with a deadline of 15 s. */
-void sv_fixture_ask_prompt (SvFixture *self, const char *path, guint64 tokens);
+void sv_fixture_request_prompt (SvFixture *self, const char *path, guint64 tokens);
 
 /** Runs the loop until the caller has received `text`, or its connection has ended. */
 void sv_fixture_wait_for (SvFixture *self, const char *text);
--- a/tests/unit/sv_leaving_test.c
+++ b/tests/unit/sv_leaving_test.c
@@ -9,12 +9,12 @@
 #define LEAVING        "Server-Leaving: 1\r\n"
 
 /* The leave grace of the fixture's fleet is 1 s: times within it and past it. */
-#define WITHIN (500 * KNL_MSEC)
-#define PAST   (1200 * KNL_MSEC)
+#define WITHIN_GRACE (500 * KNL_MSEC)
+#define PAST_GRACE   (1200 * KNL_MSEC)
 
 static const ScriptedAnswer good = { ANSWER (""), FALSE };
 static const ScriptedAnswer leaving = { ANSWER (LEAVING), FALSE };
-static const ScriptedAnswer leaving_turns_away = {
+static const ScriptedAnswer leaving_rejects = {
   "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n" LEAVING "Content-Length: 0\r\n\r\n", FALSE
 };
 static const ScriptedAnswer leaving_fails = { "HTTP/1.1 500 E\r\n" SIGNED LEAVING
@@ -24,10 +24,10 @@
                                                "Content-Length: 0\r\n\r\n",
                                                FALSE };
 
-/* Row of the first endpoint in a list that is applied after its answer; LIST_SILENT: no list. */
+/* Row of the first endpoint in a list that is applied after its answer; LIST_NONE: no list. */
 typedef enum
 {
-  LIST_SILENT,
+  LIST_NONE,
   LIST_READY,
   LIST_ANOTHER_START,
 } List;
@@ -35,12 +35,12 @@
 typedef struct
 {
   const char *name;
-  const ScriptedAnswer *word; /* the first endpoint's first answer; later ones are good */
-  gboolean has_other;         /* there is a second endpoint */
-  KnlTime after;              /* time between the two requests */
+  const ScriptedAnswer *first_answer; /* the first endpoint's first answer; later ones are good */
+  gboolean has_other;                 /* there is a second endpoint */
+  KnlTime after;                      /* time between the two requests */
   List list;
-  guint at_first;  /* requests that the first endpoint received in all */
-  gboolean served; /* whether the second request is answered 200 */
+  guint n_at_first; /* requests that the first endpoint received in all */
+  gboolean served;  /* whether the second request is answered 200 */
 } Row;
 
 static void
@@ -61,7 +61,7 @@
 static void
 check_row (const Row *row)
 {
-  const ScriptedAnswer script[] = { *row->word, good };
+  const ScriptedAnswer script[] = { *row->first_answer, good };
   SvFixture fixture;
 
   sv_fixture_open (&fixture);
@@ -69,37 +69,37 @@
   sv_fixture_add_endpoint (&fixture, script, 2);
   if (row->has_other)
     sv_fixture_add_endpoint (&fixture, &good, 1);
-  sv_fixture_ask (&fixture, "/again/1");
+  sv_fixture_request (&fixture, "/again/1");
   sv_fixture_wait_for (&fixture, "\r\n\r\n");
-  if (row->list != LIST_SILENT)
+  if (row->list != LIST_NONE)
     list_first (&fixture, row->list == LIST_READY ? 0 : 7);
   knl_paused_clock_advance (fixture.clock, row->after);
   sv_core_confirm (fixture.core, knl_kernel_now (fixture.kernel));
-  sv_fixture_ask (&fixture, "/once/2");
+  sv_fixture_request (&fixture, "/once/2");
   sv_fixture_wait_for (&fixture, "\r\n\r\n");
-  if (scripted_endpoint_n_requests (fixture.endpoints[0]) != row->at_first)
+  if (scripted_endpoint_n_requests (fixture.endpoints[0]) != row->n_at_first)
     printf ("%s: %u requests at the first\n", row->name,
             scripted_endpoint_n_requests (fixture.endpoints[0]));
-  CU_ASSERT_EQUAL (scripted_endpoint_n_requests (fixture.endpoints[0]), row->at_first);
-  CU_ASSERT_EQUAL (strstr (fixture.got->str, "HTTP/1.1 200") != NULL, row->served);
+  CU_ASSERT_EQUAL (scripted_endpoint_n_requests (fixture.endpoints[0]), row->n_at_first);
+  CU_ASSERT_EQUAL (strstr (fixture.received->str, "HTTP/1.1 200") != NULL, row->served);
   sv_fixture_close (&fixture);
 }
 
 /* Guards against requests to an endpoint that has advertised that it is leaving: they are lost when
  * it exits. */
 static void
-test_who_says_that_it_leaves_gets_no_more (void)
+test_leaving_endpoint_gets_no_requests (void)
 {
   static const Row rows[] = {
-    { "sent to the other endpoint", &leaving, TRUE, 0, LIST_SILENT, 1, TRUE },
-    { "in an error answer", &leaving_fails, TRUE, 0, LIST_SILENT, 1, TRUE },
-    { "in a rejection", &leaving_turns_away, TRUE, 0, LIST_SILENT, 1, TRUE },
-    { "only endpoint, within the grace", &leaving, FALSE, WITHIN, LIST_SILENT, 2, TRUE },
-    { "only endpoint, after the grace", &leaving, FALSE, PAST, LIST_SILENT, 1, FALSE },
+    { "sent to the other endpoint", &leaving, TRUE, 0, LIST_NONE, 1, TRUE },
+    { "in an error answer", &leaving_fails, TRUE, 0, LIST_NONE, 1, TRUE },
+    { "in a rejection", &leaving_rejects, TRUE, 0, LIST_NONE, 1, TRUE },
+    { "only endpoint, within the grace", &leaving, FALSE, WITHIN_GRACE, LIST_NONE, 2, TRUE },
+    { "only endpoint, after the grace", &leaving, FALSE, PAST_GRACE, LIST_NONE, 1, FALSE },
     { "an older list", &leaving, TRUE, 0, LIST_READY, 1, TRUE },
-    { "an older list, after the grace", &leaving, FALSE, PAST, LIST_READY, 1, FALSE },
-    { "another start", &leaving, FALSE, PAST, LIST_ANOTHER_START, 2, TRUE },
-    { "an answer by another endpoint", &another_leaves, FALSE, PAST, LIST_SILENT, 2, TRUE },
+    { "an older list, after the grace", &leaving, FALSE, PAST_GRACE, LIST_READY, 1, FALSE },
+    { "another start", &leaving, FALSE, PAST_GRACE, LIST_ANOTHER_START, 2, TRUE },
+    { "an answer by another endpoint", &another_leaves, FALSE, PAST_GRACE, LIST_NONE, 2, TRUE },
   };
 
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
@@ -107,7 +107,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "a leaving endpoint is sent no more requests", test_who_says_that_it_leaves_gets_no_more },
+  { "a leaving endpoint is sent no more requests", test_leaving_endpoint_gets_no_requests },
 };
 
 SUITE_MAIN ("sv_leaving", cases)
--- a/tests/unit/sv_limit_kept_test.c
+++ b/tests/unit/sv_limit_kept_test.c
@@ -11,13 +11,13 @@
 
 /* The limit that the endpoint advertises, in requests per second, and the maximum that it may get
  * in a span: half as much again, and 5 more. */
-#define RATE      2.0
-#define SPAN      (4 * KNL_SEC)
-#define SPAN_MOST ((guint)(1.5 * RATE * SPAN / KNL_SEC) + 5)
+#define RATE         2.0
+#define SPAN         (4 * KNL_SEC)
+#define MAX_PER_SPAN ((guint)(1.5 * RATE * SPAN / KNL_SEC) + 5)
 
 /* With fewer requests than this in a span, the endpoint's own capacity is idle although callers
  * want it. */
-#define SPAN_LEAST ((guint)(0.5 * RATE * SPAN / KNL_SEC))
+#define MIN_PER_SPAN ((guint)(0.5 * RATE * SPAN / KNL_SEC))
 
 #define ANSWER(fields) "HTTP/1.1 200 OK\r\n" SIGNED fields "Content-Length: 4\r\n\r\ngood"
 
@@ -37,14 +37,14 @@
   sv_fixture_add_endpoint (&fixture, &good, 1);
   for (KnlTime at = 0; at < SPAN; at += 100 * KNL_MSEC)
     {
-      sv_fixture_ask (&fixture, n++ % 2 == 0 ? "/again/1" : "/once/1");
+      sv_fixture_request (&fixture, n++ % 2 == 0 ? "/again/1" : "/once/1");
       sv_fixture_wait_for (&fixture, "good");
       knl_paused_clock_advance (fixture.clock, 100 * KNL_MSEC);
       sv_core_confirm (fixture.core, knl_kernel_now (fixture.kernel));
     }
   CU_ASSERT_EQUAL (sv_fixture_all_requests (&fixture), n);
-  CU_ASSERT (scripted_endpoint_n_requests (fixture.endpoints[0]) <= SPAN_MOST);
-  CU_ASSERT (scripted_endpoint_n_requests (fixture.endpoints[0]) >= SPAN_LEAST);
+  CU_ASSERT (scripted_endpoint_n_requests (fixture.endpoints[0]) <= MAX_PER_SPAN);
+  CU_ASSERT (scripted_endpoint_n_requests (fixture.endpoints[0]) >= MIN_PER_SPAN);
   sv_fixture_close (&fixture);
 }
 
@@ -65,20 +65,20 @@
   SvEndpoint *running[CALL_STEPS]; /* endpoints of the newest requests; NULL: not placed */
   guint sender[CALL_STEPS];        /* the instance that sent each */
   guint n_calls;
-} Many;
+} Cluster;
 
 static void
-many_open (Many *self, guint n_endpoints)
+cluster_open (Cluster *self, guint n_endpoints)
 {
-  *self = (Many){ .config = sv_config_new (1),
-                  .arrivals = g_array_new (FALSE, FALSE, sizeof (KnlTime)) };
+  *self = (Cluster){ .config = sv_config_new (1),
+                     .arrivals = g_array_new (FALSE, FALSE, sizeof (KnlTime)) };
   sv_config_add_service (self->config, "s");
   peers_fixture_open (&self->peers, zones, INSTANCES, n_endpoints);
-  peers_fixture_meet (&self->peers);
+  peers_fixture_connect (&self->peers);
 }
 
 static void
-many_close (Many *self)
+cluster_close (Cluster *self)
 {
   peers_fixture_close (&self->peers);
   sv_config_unref (self->config);
@@ -87,7 +87,7 @@
 
 /* The endpoint answers instance `i` and advertises `rate`. */
 static void
-many_name (Many *self, guint i, double rate)
+cluster_advertise_limit (Cluster *self, guint i, double rate)
 {
   SvEndpoint *endpoint = peers_fixture_endpoint (&self->peers, i);
 
@@ -96,7 +96,7 @@
 }
 
 static void
-many_charge (Many *self, guint i, SvEndpoint *endpoint, gint sign)
+cluster_charge (Cluster *self, guint i, SvEndpoint *endpoint, gint sign)
 {
   static const SvLoad load = { .calls = 1 };
   SvPeerLink *link = sv_peers_link (self->peers.peers[i]);
@@ -107,7 +107,7 @@
 
 /* A request arrives at an instance; an earlier one has been answered. */
 static void
-many_call (Many *self)
+cluster_call (Cluster *self)
 {
   guint i = self->n_calls % INSTANCES;
   guint slot = self->n_calls++ % CALL_STEPS;
@@ -118,11 +118,11 @@
   SvPlacement placement;
 
   if (self->running[slot] != NULL)
-    many_charge (self, self->sender[slot], self->running[slot], -1);
+    cluster_charge (self, self->sender[slot], self->running[slot], -1);
   self->running[slot] = NULL;
   if (!sv_router_place (self->peers.fleets[i], &demand, now, &placement))
     return;
-  many_charge (self, i, placement.first, 1);
+  cluster_charge (self, i, placement.first, 1);
   self->running[slot] = placement.first;
   self->sender[slot] = i;
   if (placement.first == peers_fixture_endpoint (&self->peers, i))
@@ -130,18 +130,18 @@
 }
 
 static void
-many_run (Many *self, KnlTime time)
+cluster_run (Cluster *self, KnlTime time)
 {
   for (KnlTime passed = 0; passed < time; passed += CALL_INTERVAL)
     {
-      many_call (self);
-      peers_fixture_pass (&self->peers, CALL_INTERVAL);
+      cluster_call (self);
+      peers_fixture_advance (&self->peers, CALL_INTERVAL);
     }
 }
 
 /* Arrivals in the span with the most of them. */
 static guint
-many_most_in_a_span (const Many *self)
+cluster_max_in_span (const Cluster *self)
 {
   guint most = 0;
   guint from = 0;
@@ -161,58 +161,58 @@
 static void
 test_instances_keep_a_limit_together (void)
 {
-  Many many;
-
-  many_open (&many, 3);
-  many_name (&many, 0, RATE);
-  peers_fixture_pass (&many.peers, PEERS_ACROSS);
-  many_run (&many, 3 * SPAN);
-  CU_ASSERT (many_most_in_a_span (&many) <= SPAN_MOST);
-  CU_ASSERT (many.arrivals->len >= 3 * SPAN_LEAST);
-  many_close (&many);
+  Cluster cluster;
+
+  cluster_open (&cluster, 3);
+  cluster_advertise_limit (&cluster, 0, RATE);
+  peers_fixture_advance (&cluster.peers, PEERS_PROPAGATION_TIME);
+  cluster_run (&cluster, 3 * SPAN);
+  CU_ASSERT (cluster_max_in_span (&cluster) <= MAX_PER_SPAN);
+  CU_ASSERT (cluster.arrivals->len >= 3 * MIN_PER_SPAN);
+  cluster_close (&cluster);
 }
 
 /* Guards against zones that are cut off from each other and use the whole limit each. */
 static void
 test_cut_off_zones_share_a_limit (void)
 {
-  Many many;
+  Cluster cluster;
 
-  many_open (&many, 3);
-  many_name (&many, 0, RATE);
-  peers_fixture_pass (&many.peers, PEERS_ACROSS);
+  cluster_open (&cluster, 3);
+  cluster_advertise_limit (&cluster, 0, RATE);
+  peers_fixture_advance (&cluster.peers, PEERS_PROPAGATION_TIME);
   /* Datagrams of the other zone's instances are no longer delivered. */
   for (guint i = 0; i < INSTANCES / 2; i++)
-    peers_fixture_stop (&many.peers, i);
-  peers_fixture_pass (&many.peers, 6 * PEERS_BEAT);
-  many.arrivals = g_array_set_size (many.arrivals, 0);
+    peers_fixture_stop (&cluster.peers, i);
+  peers_fixture_advance (&cluster.peers, 6 * PEERS_HEARTBEAT_INTERVAL);
+  cluster.arrivals = g_array_set_size (cluster.arrivals, 0);
   for (KnlTime passed = 0; passed < 2 * SPAN; passed += CALL_INTERVAL)
     {
-      many.n_calls = INSTANCES / 2 + many.n_calls % (INSTANCES / 2);
-      many_call (&many);
-      peers_fixture_pass (&many.peers, CALL_INTERVAL);
+      cluster.n_calls = INSTANCES / 2 + cluster.n_calls % (INSTANCES / 2);
+      cluster_call (&cluster);
+      peers_fixture_advance (&cluster.peers, CALL_INTERVAL);
     }
-  CU_ASSERT (many_most_in_a_span (&many) <= SPAN_MOST / 2);
-  CU_ASSERT (many.arrivals->len > 0);
-  many_close (&many);
+  CU_ASSERT (cluster_max_in_span (&cluster) <= MAX_PER_SPAN / 2);
+  CU_ASSERT (cluster.arrivals->len > 0);
+  cluster_close (&cluster);
 }
 
 /* Guards against a limit that stays in use at instances that didn't receive its end. */
 static void
-test_the_end_of_a_limit_is_told (void)
+test_the_end_of_a_limit_is_announced (void)
 {
-  Many many;
+  Cluster cluster;
 
-  many_open (&many, 3);
-  many_name (&many, 0, RATE);
-  many_run (&many, SPAN);
+  cluster_open (&cluster, 3);
+  cluster_advertise_limit (&cluster, 0, RATE);
+  cluster_run (&cluster, SPAN);
   for (guint i = 0; i < INSTANCES; i++)
-    CU_ASSERT_EQUAL (peers_fixture_endpoint (&many.peers, i)->limit.rate, RATE);
-  many_name (&many, 4, POL_NO_LIMIT);
-  peers_fixture_pass (&many.peers, 2 * PEERS_ACROSS);
+    CU_ASSERT_EQUAL (peers_fixture_endpoint (&cluster.peers, i)->limit.rate, RATE);
+  cluster_advertise_limit (&cluster, 4, POL_NO_LIMIT);
+  peers_fixture_advance (&cluster.peers, 2 * PEERS_PROPAGATION_TIME);
   for (guint i = 0; i < INSTANCES; i++)
-    CU_ASSERT_FALSE (pol_limit_is_named (&peers_fixture_endpoint (&many.peers, i)->limit));
-  many_close (&many);
+    CU_ASSERT_FALSE (pol_limit_is_advertised (&peers_fixture_endpoint (&cluster.peers, i)->limit));
+  cluster_close (&cluster);
 }
 
 /* Guards against counts of sent requests that stay wrong after an instance that holds them is
@@ -220,50 +220,50 @@
 static void
 test_a_limit_outlives_restarts (void)
 {
-  Many many;
+  Cluster cluster;
 
-  many_open (&many, 3);
-  many_name (&many, 0, RATE);
+  cluster_open (&cluster, 3);
+  cluster_advertise_limit (&cluster, 0, RATE);
   for (guint i = 0; i < INSTANCES; i++)
     {
-      many_run (&many, SPAN / 4);
-      memset (many.running, 0, sizeof many.running);
-      peers_fixture_stop (&many.peers, i);
-      peers_fixture_start (&many.peers, i);
+      cluster_run (&cluster, SPAN / 4);
+      memset (cluster.running, 0, sizeof cluster.running);
+      peers_fixture_stop (&cluster.peers, i);
+      peers_fixture_start (&cluster.peers, i);
       for (guint j = 0; j < INSTANCES; j++)
         {
           if (j != i)
-            peers_fixture_learn (&many.peers, i, j);
+            peers_fixture_discover (&cluster.peers, i, j);
         }
-      peers_fixture_pass (&many.peers, 2 * PEERS_BEAT);
+      peers_fixture_advance (&cluster.peers, 2 * PEERS_HEARTBEAT_INTERVAL);
     }
-  CU_ASSERT (many_most_in_a_span (&many) <= SPAN_MOST);
-  many.arrivals = g_array_set_size (many.arrivals, 0);
-  many_run (&many, 2 * SPAN);
-  CU_ASSERT (many_most_in_a_span (&many) <= SPAN_MOST);
-  CU_ASSERT (many.arrivals->len >= 2 * SPAN_LEAST);
-  many_close (&many);
+  CU_ASSERT (cluster_max_in_span (&cluster) <= MAX_PER_SPAN);
+  cluster.arrivals = g_array_set_size (cluster.arrivals, 0);
+  cluster_run (&cluster, 2 * SPAN);
+  CU_ASSERT (cluster_max_in_span (&cluster) <= MAX_PER_SPAN);
+  CU_ASSERT (cluster.arrivals->len >= 2 * MIN_PER_SPAN);
+  cluster_close (&cluster);
 }
 
 /* Guards against datagrams that grow for endpoints that never advertised a limit. */
 static void
-test_no_limit_is_not_told (void)
+test_an_absent_limit_is_not_announced (void)
 {
-  Many many;
+  Cluster cluster;
   SvEndpoint *endpoint;
   KnlTime now;
 
-  many_open (&many, 3);
-  many_name (&many, 0, POL_NO_LIMIT);
-  endpoint = peers_fixture_endpoint (&many.peers, 0);
-  now = knl_kernel_now (many.peers.kernel);
-  CU_ASSERT_FALSE (sv_endpoint_tells_limit (endpoint, now));
-  many_name (&many, 0, RATE);
-  CU_ASSERT_TRUE (sv_endpoint_tells_limit (endpoint, now));
-  many_name (&many, 0, POL_NO_LIMIT);
-  CU_ASSERT_TRUE (sv_endpoint_tells_limit (endpoint, now));
-  CU_ASSERT_FALSE (sv_endpoint_tells_limit (endpoint, now + 10 * KNL_SEC));
-  many_close (&many);
+  cluster_open (&cluster, 3);
+  cluster_advertise_limit (&cluster, 0, POL_NO_LIMIT);
+  endpoint = peers_fixture_endpoint (&cluster.peers, 0);
+  now = knl_kernel_now (cluster.peers.kernel);
+  CU_ASSERT_FALSE (sv_endpoint_announces_limit (endpoint, now));
+  cluster_advertise_limit (&cluster, 0, RATE);
+  CU_ASSERT_TRUE (sv_endpoint_announces_limit (endpoint, now));
+  cluster_advertise_limit (&cluster, 0, POL_NO_LIMIT);
+  CU_ASSERT_TRUE (sv_endpoint_announces_limit (endpoint, now));
+  CU_ASSERT_FALSE (sv_endpoint_announces_limit (endpoint, now + 10 * KNL_SEC));
+  cluster_close (&cluster);
 }
 
 static void
@@ -277,33 +277,35 @@
 test_many_limits_fit_into_datagrams (void)
 {
   static const guint most = 1 << 21;
-  const SvLoad load = { .calls = most, .writers = { most, most, most }, .tokens = 1ULL << 40 };
+  const SvLoad load = { .calls = most,
+                        .decoding_streams = { most, most, most },
+                        .tokens = 1ULL << 40 };
   guint n_too_large = 0;
-  Many many;
+  Cluster cluster;
   SvPeerLink *link;
 
-  many_open (&many, 40);
+  cluster_open (&cluster, 40);
   cm_log_set_sink (on_line, &n_too_large);
-  link = sv_peers_link (many.peers.peers[0]);
+  link = sv_peers_link (cluster.peers.peers[0]);
   for (guint i = 0; i < 40; i++)
     {
-      SvEndpoint *endpoint = g_ptr_array_index (sv_fleet_all (many.peers.fleets[0]), i);
+      SvEndpoint *endpoint = g_ptr_array_index (sv_fleet_all (cluster.peers.fleets[0]), i);
 
-      endpoint->heard_at = 1;
+      endpoint->last_seen_at = 1;
       sv_endpoint_note_limit (endpoint, RATE, 1);
-      endpoint->limit.named_at = -G_MAXINT32 * KNL_MSEC;
+      endpoint->limit.advertised_at = -G_MAXINT32 * KNL_MSEC;
       endpoint->sent = G_MAXUINT32 / 2;
       sv_endpoint_charge (endpoint, &load, 1);
       for (guint j = 0; j < 3; j++)
         link->klass->suspect (link, i);
     }
   link->klass->load_changed (link);
-  peers_fixture_pass (&many.peers, 4 * PEERS_BEAT + PEERS_ACROSS);
+  peers_fixture_advance (&cluster.peers, 4 * PEERS_HEARTBEAT_INTERVAL + PEERS_PROPAGATION_TIME);
   cm_log_set_sink (NULL, NULL);
   CU_ASSERT_EQUAL (n_too_large, 0);
   for (guint i = 0; i < INSTANCES; i++)
-    CU_ASSERT_EQUAL (peers_fixture_load (&many.peers, i).calls, most);
-  many_close (&many);
+    CU_ASSERT_EQUAL (peers_fixture_load (&cluster.peers, i).calls, most);
+  cluster_close (&cluster);
 }
 
 /* Instances that share one endpoint and receive each other's counts of sent requests with a delay.
@@ -344,28 +346,28 @@
 
 /* Reports to all others what was sent HERD_DELAY ago. */
 static void
-herd_tell (Herd *self, guint step)
+herd_report (Herd *self, guint step)
 {
   guint sender;
-  SvToldSends told;
+  SvReportedSends told;
 
   if (step < HERD_DELAY / HERD_STEP)
     return;
   sender = self->senders[step - HERD_DELAY / HERD_STEP];
   if (sender == 0)
     return;
-  told = (SvToldSends){ .source = sender, .teller = sender };
+  told = (SvReportedSends){ .source = sender, .reporter = sender };
   for (guint i = 0; i <= step - HERD_DELAY / HERD_STEP; i++)
     told.sent += self->senders[i] == sender;
   for (guint i = 0; i < HERD; i++)
     {
       if (i + 1 != sender)
-        sv_endpoint_note_told_sends (herd_endpoint (self, i), &told);
+        sv_endpoint_note_reported_sends (herd_endpoint (self, i), &told);
     }
 }
 
 static guint
-herd_most_in_a_span (const Herd *self)
+herd_max_in_span (const Herd *self)
 {
   guint most = 0;
   guint n = 0;
@@ -396,8 +398,8 @@
       guint i = (guint)g_rand_int_range (knl_kernel_rand (kernel), 0, HERD);
       SvEndpoint *endpoint = herd_endpoint (herd, i);
 
-      herd_tell (herd, step);
-      if (sv_endpoint_wait (herd->fleets[i], endpoint, knl_kernel_now (kernel)) == 0)
+      herd_report (herd, step);
+      if (sv_endpoint_wait_time (herd->fleets[i], endpoint, knl_kernel_now (kernel)) == 0)
         {
           sv_endpoint_charge (endpoint, &load, 1);
           herd->senders[step] = i + 1;
@@ -405,8 +407,8 @@
         }
       knl_paused_clock_advance (clock, HERD_STEP);
     }
-  CU_ASSERT (herd_most_in_a_span (herd) <= SPAN_MOST);
-  CU_ASSERT (sent >= 3 * SPAN_LEAST);
+  CU_ASSERT (herd_max_in_span (herd) <= MAX_PER_SPAN);
+  CU_ASSERT (sent >= 3 * MIN_PER_SPAN);
   for (guint i = 0; i < HERD; i++)
     sv_fleet_free (herd->fleets[i]);
   knl_kernel_free (kernel);
@@ -417,9 +419,9 @@
   { "one instance keeps a limit", test_one_instance_keeps_a_limit },
   { "instances keep a limit together", test_instances_keep_a_limit_together },
   { "cut-off zones share a limit", test_cut_off_zones_share_a_limit },
-  { "the end of a limit is announced", test_the_end_of_a_limit_is_told },
+  { "the end of a limit is announced", test_the_end_of_a_limit_is_announced },
   { "a limit outlives restarts", test_a_limit_outlives_restarts },
-  { "an absent limit is not announced", test_no_limit_is_not_told },
+  { "an absent limit is not announced", test_an_absent_limit_is_not_announced },
   { "a herd keeps a limit", test_a_herd_keeps_a_limit },
   { "many limits fit into datagrams", test_many_limits_fit_into_datagrams },
 };
--- a/tests/unit/sv_limit_test.c
+++ b/tests/unit/sv_limit_test.c
@@ -38,12 +38,12 @@
   fixture_open (&fixture, script, 2);
   cm_log_init ("test", "n", CM_LOG_INFO);
   cm_log_set_sink (on_line, lines);
-  sv_fixture_ask (&fixture, "/again/1");
+  sv_fixture_request (&fixture, "/again/1");
   sv_fixture_wait_for (&fixture, "good");
   CU_ASSERT_PTR_NULL (strstr (lines->str, "\"endpoint-limit\":"));
   CU_ASSERT_PTR_NOT_NULL (strstr (lines->str, "\"requests-a-second\":2"));
   knl_paused_clock_advance (fixture.clock, KNL_SEC);
-  sv_fixture_ask (&fixture, "/again/2");
+  sv_fixture_request (&fixture, "/again/2");
   sv_fixture_wait_for (&fixture, "good");
   cm_log_set_sink (NULL, NULL);
   CU_ASSERT_PTR_NOT_NULL (strstr (lines->str, "\"endpoint-limit\":\"2.00\""));
@@ -53,46 +53,46 @@
 
 /* Guards against requests that are queued or sent while the limits of all endpoints are used up. */
 static void
-test_what_no_limit_allows_is_refused (void)
+test_requests_beyond_limits_are_refused (void)
 {
   static const ScriptedAnswer slow = { ANSWER ("Server-Limit: 0.5\r\n"), FALSE };
   SvFixture fixture;
 
   fixture_open (&fixture, &slow, 1);
-  sv_fixture_ask (&fixture, "/once/1");
+  sv_fixture_request (&fixture, "/once/1");
   sv_fixture_wait_for (&fixture, "good");
-  sv_fixture_ask (&fixture, "/once/2");
+  sv_fixture_request (&fixture, "/once/2");
   sv_fixture_wait_for (&fixture, "\r\n\r\n");
-  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "503"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.received->str, "503"));
   /* Two seconds until the limit permits a request, and up to 0.3 s that spread the callers. */
-  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "Retry-After: 2."));
+  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.received->str, "Retry-After: 2."));
   CU_ASSERT_EQUAL (sv_fixture_all_requests (&fixture), 1);
   knl_paused_clock_advance (fixture.clock, 2001 * KNL_MSEC);
-  sv_fixture_ask (&fixture, "/once/3");
+  sv_fixture_request (&fixture, "/once/3");
   sv_fixture_wait_for (&fixture, "good");
   sv_fixture_close (&fixture);
 }
 
 /* Guards against an endpoint that is never sent requests again after it advertised a limit of 0. */
 static void
-test_an_endpoint_that_takes_nothing_is_asked_again (void)
+test_zero_limit_is_tried_again (void)
 {
   static const ScriptedAnswer script[] = { { ANSWER ("Server-Limit: 0\r\n"), FALSE },
                                            { ANSWER (""), FALSE } };
   SvFixture fixture;
 
   fixture_open (&fixture, script, 2);
-  sv_fixture_ask (&fixture, "/once/1");
+  sv_fixture_request (&fixture, "/once/1");
   sv_fixture_wait_for (&fixture, "good");
   knl_paused_clock_advance (fixture.clock, 5 * KNL_SEC);
   sv_core_confirm (fixture.core, knl_kernel_now (fixture.kernel));
-  sv_fixture_ask (&fixture, "/once/2");
+  sv_fixture_request (&fixture, "/once/2");
   sv_fixture_wait_for (&fixture, "503");
   knl_paused_clock_advance (fixture.clock, 6 * KNL_SEC);
   sv_core_confirm (fixture.core, knl_kernel_now (fixture.kernel));
   for (guint i = 3; i < 8; i++)
     {
-      sv_fixture_ask (&fixture, "/once/3");
+      sv_fixture_request (&fixture, "/once/3");
       sv_fixture_wait_for (&fixture, "good");
     }
   sv_fixture_close (&fixture);
@@ -114,7 +114,7 @@
   sv_fixture_add_endpoint (&fixture, script, G_N_ELEMENTS (script));
   for (KnlTime at = 0; at < 4 * KNL_SEC; at += 50 * KNL_MSEC)
     {
-      sv_fixture_ask (&fixture, "/again/1");
+      sv_fixture_request (&fixture, "/again/1");
       sv_fixture_wait_for (&fixture, "\r\n\r\n");
       knl_paused_clock_advance (fixture.clock, 50 * KNL_MSEC);
       sv_core_confirm (fixture.core, knl_kernel_now (fixture.kernel));
@@ -127,7 +127,7 @@
 
 /* Guards against applying the limit of another endpoint that now has the address. */
 static void
-test_another_endpoints_limit_counts_for_nothing (void)
+test_another_endpoints_limit_is_ignored (void)
 {
   static const ScriptedAnswer script[] = {
     { "HTTP/1.1 421 Misdirected Request\r\nServer-Limit: 0\r\nContent-Length: 0\r\n\r\n", FALSE },
@@ -136,22 +136,21 @@
   SvFixture fixture;
 
   fixture_open (&fixture, script, 2);
-  sv_fixture_ask (&fixture, "/once/1");
+  sv_fixture_request (&fixture, "/once/1");
   sv_fixture_wait_for (&fixture, "\r\n\r\n");
   knl_paused_clock_advance (fixture.clock, KNL_SEC);
-  sv_fixture_ask (&fixture, "/once/2");
+  sv_fixture_request (&fixture, "/once/2");
   sv_fixture_wait_for (&fixture, "\r\n\r\n");
-  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "good"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.received->str, "good"));
   sv_fixture_close (&fixture);
 }
 
 static const SuiteCase cases[] = {
   { "limits are logged", test_limits_are_logged },
-  { "requests are refused when all limits are used up", test_what_no_limit_allows_is_refused },
-  { "an endpoint with a limit of 0 is tried again",
-    test_an_endpoint_that_takes_nothing_is_asked_again },
+  { "requests are refused when all limits are used up", test_requests_beyond_limits_are_refused },
+  { "an endpoint with a limit of 0 is tried again", test_zero_limit_is_tried_again },
   { "second sends count", test_second_sends_count },
-  { "another endpoint's limit is ignored", test_another_endpoints_limit_counts_for_nothing },
+  { "another endpoint's limit is ignored", test_another_endpoints_limit_is_ignored },
 };
 
 SUITE_MAIN ("sv_limit", cases)
--- a/tests/unit/sv_load_test.c
+++ b/tests/unit/sv_load_test.c
@@ -12,7 +12,7 @@
   .memory_tokens = 100000,
   .stride = 50,
   .step_ms = 1,
-  .read_tokens_per_ms = 100,
+  .prefill_tokens_per_ms = 100,
   .chunk = 1000,
 };
 
@@ -30,12 +30,12 @@
   KnlTime first;
   KnlTime last;
   gboolean is_done;
-} Seen;
+} RequestTimes;
 
 static void
 on_event (gpointer data, guint index)
 {
-  Seen *seen = data;
+  RequestTimes *seen = data;
 
   seen->last = knl_kernel_now (seen->fixture->kernel);
   if (index == 0)
@@ -45,7 +45,7 @@
 static void
 on_done (gpointer data)
 {
-  ((Seen *)data)->is_done = TRUE;
+  ((RequestTimes *)data)->is_done = TRUE;
 }
 
 static const FkPassEvents events = { .event = on_event, .done = on_done };
@@ -69,11 +69,16 @@
 }
 
 static void
-submit (Fixture *self, Seen *seen, guint engine, guint64 tokens, guint n_events, guint helpers)
+submit (Fixture *self,
+        RequestTimes *seen,
+        guint engine,
+        guint64 tokens,
+        guint n_events,
+        guint helpers)
 {
   FkPassDemand demand = { .prompt_tokens = tokens, .events = n_events, .n_helpers = helpers };
 
-  *seen = (Seen){ .fixture = self };
+  *seen = (RequestTimes){ .fixture = self };
   for (guint i = 0; i < helpers; i++)
     demand.helpers[i] = self->engines[(engine + 1 + i) % G_N_ELEMENTS (self->engines)];
   fk_pass_engine_submit (self->engines[engine], &demand, &events, seen);
@@ -92,9 +97,9 @@
 test_engines_work_in_passes (void)
 {
   Fixture fixture;
-  Seen alone;
-  Seen beside;
-  Seen wide;
+  RequestTimes alone;
+  RequestTimes beside;
+  RequestTimes wide;
 
   fixture_open (&fixture);
   submit (&fixture, &alone, 0, 10000, 10, 0);
@@ -119,9 +124,9 @@
 test_engines_hold_what_fits (void)
 {
   Fixture fixture;
-  Seen large;
-  Seen waits;
-  Seen slots[6];
+  RequestTimes large;
+  RequestTimes waits;
+  RequestTimes slots[6];
 
   fixture_open (&fixture);
   submit (&fixture, &large, 0, 90000, 20, 0);
@@ -181,7 +186,7 @@
  * of its prefill and decode load.
  */
 static void
-test_short_ones_do_not_wait_behind_long_ones (void)
+test_short_prompts_do_not_wait_behind_long_ones (void)
 {
   BenchPolicyResult fewest = run ("fewest", 6, 0.6);
   BenchPolicyResult routed = run ("routed", 6, 0.6);
@@ -209,7 +214,7 @@
 static const SuiteCase cases[] = {
   { "engines work in passes", test_engines_work_in_passes },
   { "engines hold what fits", test_engines_hold_what_fits },
-  { "short prompts do not wait behind long ones", test_short_ones_do_not_wait_behind_long_ones },
+  { "short prompts do not wait behind long ones", test_short_prompts_do_not_wait_behind_long_ones },
   { "many instances are like one", test_many_instances_are_like_one },
 };
 
--- a/tests/unit/sv_memory_test.c
+++ b/tests/unit/sv_memory_test.c
@@ -43,9 +43,9 @@
 
   sv_fixture_open (&fixture);
   sv_fixture_use_engines (&fixture, 1, &sv_fixture_small_engine);
-  for (guint i = 0; i < ENDPOINTS_MOST; i++)
+  for (guint i = 0; i < MAX_ENDPOINTS; i++)
     sv_fixture_add_endpoint (&fixture, i == RUNNER ? silent : taken, 1);
-  sv_fixture_ask_prompt (&fixture, "/long/1", 120000);
+  sv_fixture_request_prompt (&fixture, "/long/1", 120000);
   wait_sent (&fixture);
   CU_ASSERT_TRUE (has_order (&fixture, HOLDER, "reserve"));
   while (!has_order (&fixture, HOLDER, "release") && passed < IDLE_BOUND)
@@ -57,14 +57,14 @@
     }
   CU_ASSERT (passed < IDLE_BOUND);
   sv_fixture_wait_for (&fixture, "\r\n\r\n");
-  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, "HTTP/1.1 502"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (fixture.received->str, "HTTP/1.1 502"));
   sv_fixture_close (&fixture);
 }
 
 /* Guards against sending a prompt to an endpoint that asks for no requests (Retry-After) while
  * memory is being reserved for the prompt. */
 static void
-test_an_endpoint_that_rests_meanwhile_gets_nothing (void)
+test_no_prompt_after_retry_after (void)
 {
   static const ScriptedAnswer taken[] = { { TAKEN, FALSE } };
   SvFixture fixture;
@@ -72,17 +72,17 @@
 
   sv_fixture_open (&fixture);
   sv_fixture_use_engines (&fixture, 1, &sv_fixture_small_engine);
-  for (guint i = 0; i < ENDPOINTS_MOST; i++)
+  for (guint i = 0; i < MAX_ENDPOINTS; i++)
     sv_fixture_add_endpoint (&fixture, taken, 1);
-  sv_fixture_ask_prompt (&fixture, "/long/1", 120000);
+  sv_fixture_request_prompt (&fixture, "/long/1", 120000);
   sv_fixture_wait_requests (&fixture, HOLDER, 1);
-  for (guint i = 0; i < ENDPOINTS_MOST; i++)
+  for (guint i = 0; i < MAX_ENDPOINTS; i++)
     {
       SvEndpoint *endpoint = g_ptr_array_index (sv_fleet_all (fixture.fleet), i);
 
       if (strcmp (endpoint->address, scripted_endpoint_address (fixture.endpoints[RUNNER])) != 0)
         continue;
-      endpoint->rests_until = knl_kernel_now (fixture.kernel) + 3 * KNL_SEC;
+      endpoint->retry_after_until = knl_kernel_now (fixture.kernel) + 3 * KNL_SEC;
       runner = endpoint;
     }
   CU_ASSERT_PTR_NOT_NULL_FATAL (runner);
@@ -101,8 +101,7 @@
 
 static const SuiteCase cases[] = {
   { "memory is not held for a prompt that waits", test_memory_is_not_held_for_a_prompt_that_waits },
-  { "an endpoint that rests meanwhile gets nothing",
-    test_an_endpoint_that_rests_meanwhile_gets_nothing },
+  { "an endpoint that rests meanwhile gets nothing", test_no_prompt_after_retry_after },
 };
 
 SUITE_MAIN ("sv_memory", cases)
--- a/tests/unit/sv_move_test.c
+++ b/tests/unit/sv_move_test.c
@@ -5,19 +5,19 @@
 #include "suite.h"
 #include "sv_fixture.h"
 
-#define PROMPT_TOKENS 5000
-#define SETTLE_TURNS  20
+#define PROMPT_TOKENS     5000
+#define SETTLE_ITERATIONS 20
 
 static const SvEngineSpec spec = {
   .slots = 16,
   .memory_tokens = 300000,
   .stride = 50,
   .step_ms = 1,
-  .read_tokens_per_ms = 180,
+  .prefill_tokens_per_ms = 180,
   .pair_ms_per_m = 0.18,
   .chunk = 2048,
-  .usual_prompt = 10000,
-  .usual_answer = 1000,
+  .mean_prompt_tokens = 10000,
+  .mean_answer_tokens = 1000,
 };
 
 /* Sends two events and leaves the stream open. */
@@ -54,7 +54,7 @@
 static void
 settle (SvFixture *fixture)
 {
-  for (guint i = 0; i < SETTLE_TURNS; i++)
+  for (guint i = 0; i < SETTLE_ITERATIONS; i++)
     event_base_loop (fixture->base, EVLOOP_NONBLOCK);
 }
 
@@ -97,10 +97,10 @@
                                        .new_config = 5 * KNL_SEC,
                                        .grace = 8 * KNL_SEC,
                                        .retries = { .window = 10 * KNL_SEC } };
-  SvRead read = { .prompt = 7, .length = row->part, .until_told = row->until_told };
+  SvPrefill prefill = { .prompt = 7, .length = row->part, .until_told = row->until_told };
   SvFixture fixture;
   guint runner;
-  guint reader;
+  guint target;
 
   sv_fixture_open (&fixture);
   if (row->no_retries)
@@ -108,11 +108,11 @@
   sv_fixture_use_engines (&fixture, 1, &spec);
   for (guint i = 0; i < row->n_endpoints; i++)
     sv_fixture_add_endpoint (&fixture, begun, 1);
-  sv_fixture_ask_prompt (&fixture, "/stream/1", PROMPT_TOKENS);
+  sv_fixture_request_prompt (&fixture, "/stream/1", PROMPT_TOKENS);
   sv_fixture_wait_for (&fixture, "id: 2");
   runner = runner_of (&fixture);
-  reader = row->elsewhere ? 1 - runner : runner;
-  sv_fleet_add_read (fixture.fleet, &read, &endpoint_of (&fixture, reader)->key, 1);
+  target = row->elsewhere ? 1 - runner : runner;
+  sv_fleet_add_prefill (fixture.fleet, &prefill, &endpoint_of (&fixture, target)->key, 1);
   knl_paused_clock_advance (fixture.clock, 40 * KNL_MSEC);
   settle (&fixture);
   if ((sv_fixture_all_requests (&fixture) == 2) != row->moves)
@@ -123,21 +123,21 @@
     CU_ASSERT_STRING_EQUAL (
         scripted_endpoint_field (fixture.endpoints[1 - runner], "last-event-id"), "2");
   /* The caller gets one answer, with each event once. */
-  CU_ASSERT_EQUAL (count_of (fixture.got, "HTTP/1.1 200"), 1);
-  CU_ASSERT_EQUAL (count_of (fixture.got, "id: 1\n"), 1);
-  CU_ASSERT_EQUAL (count_of (fixture.got, "id: 2\n"), 1);
+  CU_ASSERT_EQUAL (count_of (fixture.received, "HTTP/1.1 200"), 1);
+  CU_ASSERT_EQUAL (count_of (fixture.received, "id: 1\n"), 1);
+  CU_ASSERT_EQUAL (count_of (fixture.received, "id: 2\n"), 1);
   sv_fixture_close (&fixture);
 }
 
 static void
-test_streams_make_way (void)
+test_streams_migrate (void)
 {
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
     check_row (&rows[i]);
 }
 
 static const SuiteCase cases[] = {
-  { "streams make way", test_streams_make_way },
+  { "streams make way", test_streams_migrate },
 };
 
 SUITE_MAIN ("sv_move", cases)
--- a/tests/unit/sv_parts_test.c
+++ b/tests/unit/sv_parts_test.c
@@ -101,9 +101,9 @@
       sv_events_init (&events);
       for (gsize at = 0; at < strlen (whole); at += step)
         sv_events_feed (&events, whole + at, MIN (step, strlen (whole) - at), on_event, &seen);
-      CU_ASSERT_FALSE (sv_events_is_torn (&events));
+      CU_ASSERT_FALSE (sv_events_is_incomplete (&events));
       sv_events_feed (&events, torn, strlen (torn), on_event, &seen);
-      CU_ASSERT_TRUE (sv_events_is_torn (&events));
+      CU_ASSERT_TRUE (sv_events_is_incomplete (&events));
       CU_ASSERT_STRING_EQUAL (seen.text->str, whole);
       CU_ASSERT_EQUAL (seen.n, 3);
       CU_ASSERT_TRUE (seen.ids[0] == 4 && seen.ids[1] == 5 && seen.ids[2] == -1);
@@ -140,20 +140,20 @@
 
   list (fleet, "i-1", FALSE);
   endpoint = g_ptr_array_index (sv_fleet_service (fleet, "s"), 0);
-  CU_ASSERT_TRUE (sv_endpoint_usable (endpoint, knl_kernel_now (kernel)));
+  CU_ASSERT_TRUE (sv_endpoint_is_usable (endpoint, knl_kernel_now (kernel)));
   sv_fleet_begin_list (fleet);
   sv_fleet_end_list (fleet);
-  CU_ASSERT_FALSE (sv_endpoint_usable (endpoint, knl_kernel_now (kernel)));
-  CU_ASSERT_TRUE (sv_endpoint_last_resort (fleet, endpoint));
+  CU_ASSERT_FALSE (sv_endpoint_is_usable (endpoint, knl_kernel_now (kernel)));
+  CU_ASSERT_TRUE (sv_endpoint_is_last_resort (fleet, endpoint));
   knl_paused_clock_advance (clock, 1800 * KNL_MSEC);
-  CU_ASSERT_FALSE (sv_endpoint_last_resort (fleet, endpoint));
+  CU_ASSERT_FALSE (sv_endpoint_is_last_resort (fleet, endpoint));
   sv_fleet_sweep (fleet);
   CU_ASSERT_EQUAL (sv_fleet_all (fleet)->len, 0);
   list (fleet, "i-1", FALSE);
   endpoint = g_ptr_array_index (sv_fleet_service (fleet, "s"), 0);
-  CU_ASSERT_TRUE (sv_endpoint_usable (endpoint, knl_kernel_now (kernel)));
+  CU_ASSERT_TRUE (sv_endpoint_is_usable (endpoint, knl_kernel_now (kernel)));
   list (fleet, "i-1", TRUE);
-  CU_ASSERT_FALSE (sv_endpoint_usable (endpoint, knl_kernel_now (kernel)));
+  CU_ASSERT_FALSE (sv_endpoint_is_usable (endpoint, knl_kernel_now (kernel)));
   sv_fleet_free (fleet);
 }
 
@@ -170,14 +170,14 @@
   list (fleet, "i-1", FALSE);
   endpoint = g_ptr_array_index (sv_fleet_service (fleet, "s"), 0);
   sv_endpoint_note_loss (endpoint, knl_kernel_now (kernel));
-  CU_ASSERT_FALSE (sv_endpoint_usable (endpoint, knl_kernel_now (kernel)));
+  CU_ASSERT_FALSE (sv_endpoint_is_usable (endpoint, knl_kernel_now (kernel)));
   knl_paused_clock_advance (clock, KNL_SEC);
   now = knl_kernel_now (kernel);
-  CU_ASSERT_TRUE (sv_endpoint_usable (endpoint, now));
+  CU_ASSERT_TRUE (sv_endpoint_is_usable (endpoint, now));
   sv_endpoint_charge (endpoint, &one, 1);
-  CU_ASSERT_FALSE (sv_endpoint_usable (endpoint, now));
+  CU_ASSERT_FALSE (sv_endpoint_is_usable (endpoint, now));
   sv_endpoint_note_success (endpoint, now);
-  CU_ASSERT_TRUE (sv_endpoint_usable (endpoint, now));
+  CU_ASSERT_TRUE (sv_endpoint_is_usable (endpoint, now));
   sv_endpoint_charge (endpoint, &one, -1);
   sv_fleet_free (fleet);
 }
@@ -188,7 +188,7 @@
  * only for a short time.
  */
 static void
-test_unseen_calls_count_for_a_moment (void)
+test_reported_calls_count_briefly (void)
 {
   g_autoptr (KnlPausedClock) clock = knl_paused_clock_new ();
   g_autoptr (KnlKernel) kernel = knl_kernel_new (knl_paused_clock_runtime (clock), 7);
@@ -214,7 +214,7 @@
   { "events are cut whole, in any pieces", test_events_in_any_pieces },
   { "lapsed entries are a last resort", test_lapsed_entries_are_a_last_resort },
   { "a lost endpoint is tried by one request", test_lost_endpoint_is_tried_by_one },
-  { "unseen calls count for a moment", test_unseen_calls_count_for_a_moment },
+  { "unseen calls count for a moment", test_reported_calls_count_briefly },
 };
 
 SUITE_MAIN ("sv_parts", cases)
--- a/tests/unit/sv_peers_test.c
+++ b/tests/unit/sv_peers_test.c
@@ -13,11 +13,11 @@
 fixture_open (PeersFixture *self)
 {
   peers_fixture_open (self, zones, INSTANCES, 1);
-  peers_fixture_meet (self);
+  peers_fixture_connect (self);
 }
 
 static void
-test_a_greeting_is_enough (void)
+test_one_introduction_is_enough (void)
 {
   PeersFixture fixture;
 
@@ -35,11 +35,11 @@
  * Cause: the first placement reached the other instances too late, or not at all.
  */
 static void
-test_load_and_reads_are_told (void)
+test_load_and_prefills_are_announced (void)
 {
-  static const SvLoad load = { .calls = 1, .writers = { 0, 1, 0 }, .tokens = 5000 };
+  static const SvLoad load = { .calls = 1, .decoding_streams = { 0, 1, 0 }, .tokens = 5000 };
   PeersFixture fixture;
-  SvRead read = { .prompt = 5, .length = 300 * KNL_MSEC, .until_told = TRUE };
+  SvPrefill read = { .prompt = 5, .length = 300 * KNL_MSEC, .until_told = TRUE };
   SvEndpoint *endpoint;
   SvPeerLink *link;
 
@@ -47,22 +47,22 @@
   link = sv_peers_link (fixture.peers[0]);
   endpoint = peers_fixture_endpoint (&fixture, 0);
   sv_endpoint_charge (endpoint, &load, 1);
-  link->klass->read_placed (link, &read, &endpoint->key, 1);
+  link->klass->prefill_placed (link, &read, &endpoint->key, 1);
   link->klass->suspect (link, 77);
   knl_paused_clock_advance (fixture.clock, 3 * KNL_MSEC);
   while (peers_fixture_load (&fixture, 2).calls == 0 || fixture.suspect == 0)
     event_base_loop (fixture.base, EVLOOP_ONCE);
-  CU_ASSERT_EQUAL (peers_fixture_load (&fixture, 2).writers[SV_PAUSE_MEDIUM], 1);
+  CU_ASSERT_EQUAL (peers_fixture_load (&fixture, 2).decoding_streams[SV_GAP_MEDIUM], 1);
   CU_ASSERT_EQUAL (peers_fixture_load (&fixture, 2).tokens, 5000);
-  CU_ASSERT (
-      sv_endpoint_read_left (peers_fixture_endpoint (&fixture, 2), knl_kernel_now (fixture.kernel))
-      > 290 * KNL_MSEC);
+  CU_ASSERT (sv_endpoint_prefill_left (peers_fixture_endpoint (&fixture, 2),
+                                       knl_kernel_now (fixture.kernel))
+             > 290 * KNL_MSEC);
   CU_ASSERT_EQUAL (fixture.suspect, 77);
-  link->klass->read_ended (link, read.prompt);
+  link->klass->prefill_ended (link, read.prompt);
   knl_paused_clock_advance (fixture.clock, 3 * KNL_MSEC);
-  while (
-      sv_endpoint_read_left (peers_fixture_endpoint (&fixture, 2), knl_kernel_now (fixture.kernel))
-      > 0)
+  while (sv_endpoint_prefill_left (peers_fixture_endpoint (&fixture, 2),
+                                   knl_kernel_now (fixture.kernel))
+         > 0)
     event_base_loop (fixture.base, EVLOOP_ONCE);
   peers_fixture_close (&fixture);
 }
@@ -74,7 +74,7 @@
  * Cause: a heartbeat was handled as if nothing were in flight, or full datagrams were never sent.
  */
 static void
-test_loads_outlive_heartbeats_and_are_mended (void)
+test_loads_outlive_heartbeats_and_are_repaired (void)
 {
   static const SvLoad load = { .calls = 3 };
   static const KnlTime step = 100 * KNL_MSEC;
@@ -84,7 +84,7 @@
   fixture_open (&fixture);
   sv_endpoint_charge (peers_fixture_endpoint (&fixture, 1), &load, 1);
   sv_peers_link (fixture.peers[1])->klass->load_changed (sv_peers_link (fixture.peers[1]));
-  peers_fixture_pass (&fixture, PEERS_ACROSS);
+  peers_fixture_advance (&fixture, PEERS_PROPAGATION_TIME);
   CU_ASSERT_EQUAL (peers_fixture_load (&fixture, 0).calls, 3);
   for (guint i = 0; i < 30; i++)
     {
@@ -121,10 +121,10 @@
   knl_paused_clock_advance (fixture.clock, 2 * KNL_SEC);
   fixture.incarnation = 1;
   peers_fixture_start (&fixture, 1);
-  peers_fixture_learn (&fixture, 1, 0);
+  peers_fixture_discover (&fixture, 1, 0);
   sv_endpoint_charge (peers_fixture_endpoint (&fixture, 1), &load, 1);
   sv_peers_set_ready (fixture.peers[1], TRUE);
-  peers_fixture_pass (&fixture, PEERS_BEAT + PEERS_ACROSS);
+  peers_fixture_advance (&fixture, PEERS_HEARTBEAT_INTERVAL + PEERS_PROPAGATION_TIME);
   CU_ASSERT_EQUAL (peers_fixture_load (&fixture, 0).calls, 2);
   CU_ASSERT (sv_peers_n_alive (fixture.peers[0]) >= 1);
   peers_fixture_close (&fixture);
@@ -136,7 +136,7 @@
  * Cause: its last datagram was relied on indefinitely.
  */
 static void
-test_silent_peer_is_left_out (void)
+test_silent_peer_is_ignored (void)
 {
   static const SvLoad load = { .calls = 3 };
   PeersFixture fixture;
@@ -147,7 +147,7 @@
   sv_endpoint_charge (peers_fixture_endpoint (&fixture, 1), &load, 1);
   for (guint i = 0; i < INSTANCES; i++)
     sv_peers_set_ready (fixture.peers[i], TRUE);
-  peers_fixture_pass (&fixture, PEERS_BEAT + PEERS_ACROSS);
+  peers_fixture_advance (&fixture, PEERS_HEARTBEAT_INTERVAL + PEERS_PROPAGATION_TIME);
   CU_ASSERT_EQUAL (peers_fixture_load (&fixture, 0).calls, 3);
   before = sv_peers_ready_addresses (fixture.peers[0], "a", 10);
   CU_ASSERT_EQUAL (before->len, 3);
@@ -162,18 +162,19 @@
 
 /* Instance `i` reports a lost request at its endpoint. */
 static void
-lose (PeersFixture *self, guint i)
+report_loss (PeersFixture *self, guint i)
 {
   SvPeerLink *link = sv_peers_link (self->peers[i]);
 
   link->klass->health_changed (link, peers_fixture_endpoint (self, i), TRUE);
-  peers_fixture_pass (self, PEERS_ACROSS);
+  peers_fixture_advance (self, PEERS_PROPAGATION_TIME);
 }
 
 static gboolean
 is_doubted_at (PeersFixture *self, guint i)
 {
-  return sv_endpoint_is_doubted (peers_fixture_endpoint (self, i), knl_kernel_now (self->kernel));
+  return sv_endpoint_has_shared_backoff (peers_fixture_endpoint (self, i),
+                                         knl_kernel_now (self->kernel));
 }
 
 /*
@@ -183,28 +184,28 @@
  * Cause: losses weren't shared between instances.
  */
 static void
-test_losses_of_two_are_believed (void)
+test_losses_of_two_peers_are_accepted (void)
 {
   PeersFixture fixture;
   SvPeerLink *link;
 
   fixture_open (&fixture);
-  lose (&fixture, 0);
+  report_loss (&fixture, 0);
   /* A single instance may itself be cut off or faulty. */
   CU_ASSERT_FALSE (is_doubted_at (&fixture, 2));
-  lose (&fixture, 0);
+  report_loss (&fixture, 0);
   CU_ASSERT_FALSE (is_doubted_at (&fixture, 2));
-  lose (&fixture, 1);
+  report_loss (&fixture, 1);
   CU_ASSERT_TRUE (is_doubted_at (&fixture, 2));
   /* An answer that the instance itself just received outweighs the reports. */
   CU_ASSERT_TRUE (sv_endpoint_note_success (peers_fixture_endpoint (&fixture, 2),
                                             knl_kernel_now (fixture.kernel)));
   CU_ASSERT_FALSE (is_doubted_at (&fixture, 2));
   /* An answer to one instance clears the endpoint at all of them. */
-  lose (&fixture, 1);
+  report_loss (&fixture, 1);
   link = sv_peers_link (fixture.peers[2]);
   link->klass->health_changed (link, peers_fixture_endpoint (&fixture, 2), FALSE);
-  peers_fixture_pass (&fixture, PEERS_ACROSS);
+  peers_fixture_advance (&fixture, PEERS_PROPAGATION_TIME);
   CU_ASSERT_FALSE (is_doubted_at (&fixture, 0));
   peers_fixture_close (&fixture);
 }
@@ -212,28 +213,28 @@
 /* Guards against reports from an instance that loses requests at all endpoints, as it is probably
  * cut off itself. */
 static void
-test_who_loses_everywhere_is_not_believed (void)
+test_losses_at_all_endpoints_are_not_accepted (void)
 {
   PeersFixture fixture;
 
   fixture_open (&fixture);
   for (guint i = 0; i < 5; i++)
-    lose (&fixture, 0);
-  pol_belief_note_success (&peers_fixture_endpoint (&fixture, 2)->belief);
-  lose (&fixture, 0);
-  lose (&fixture, 1);
+    report_loss (&fixture, 0);
+  pol_shared_health_note_success (&peers_fixture_endpoint (&fixture, 2)->shared_health);
+  report_loss (&fixture, 0);
+  report_loss (&fixture, 1);
   CU_ASSERT_FALSE (is_doubted_at (&fixture, 2));
   peers_fixture_close (&fixture);
 }
 
 static const SuiteCase cases[] = {
-  { "one introduction is enough", test_a_greeting_is_enough },
-  { "load and prefills are announced", test_load_and_reads_are_told },
-  { "loads outlive heartbeats and are repaired", test_loads_outlive_heartbeats_and_are_mended },
+  { "one introduction is enough", test_one_introduction_is_enough },
+  { "load and prefills are announced", test_load_and_prefills_are_announced },
+  { "loads outlive heartbeats and are repaired", test_loads_outlive_heartbeats_and_are_repaired },
   { "a restart after the clock jumped back", test_restart_after_the_clock_jumped_back },
-  { "a silent peer is ignored", test_silent_peer_is_left_out },
-  { "losses of two peers are accepted", test_losses_of_two_are_believed },
-  { "losses at all endpoints are not accepted", test_who_loses_everywhere_is_not_believed },
+  { "a silent peer is ignored", test_silent_peer_is_ignored },
+  { "losses of two peers are accepted", test_losses_of_two_peers_are_accepted },
+  { "losses at all endpoints are not accepted", test_losses_at_all_endpoints_are_not_accepted },
 };
 
 SUITE_MAIN ("sv_peers", cases)
--- a/tests/unit/sv_reservation_test.c
+++ b/tests/unit/sv_reservation_test.c
@@ -8,7 +8,7 @@
 #include "suite.h"
 #include "tests/fakes/scripted_endpoint.h"
 
-#define STUCK_S 20
+#define TEST_TIMEOUT_S 20
 
 /* Unused memory must be free within 4 s in these tests; the lease is shorter. */
 #define FREE_WITHIN (4 * KNL_SEC)
@@ -20,7 +20,7 @@
 typedef struct
 {
   struct event_base *base;
-  struct event *stuck;
+  struct event *test_timeout;
   KnlPausedClock *clock;
   KnlKernel *kernel;
   HtClient *client;
@@ -33,7 +33,7 @@
 } Fixture;
 
 static void
-on_stuck (evutil_socket_t fd, short what, void *data)
+on_test_timeout (evutil_socket_t fd, short what, void *data)
 {
   g_error ("nothing happens any more");
 }
@@ -51,11 +51,11 @@
 fixture_open (Fixture *self, const ScriptedAnswer *const scripts[2], guint length)
 {
   static const HtLimits limits = { 16384, 1 << 20 };
-  static const struct timeval limit = { STUCK_S, 0 };
+  static const struct timeval limit = { TEST_TIMEOUT_S, 0 };
 
   *self = (Fixture){ .base = event_base_new (), .clock = knl_paused_clock_new () };
-  self->stuck = evtimer_new (self->base, on_stuck, NULL);
-  evtimer_add (self->stuck, &limit);
+  self->test_timeout = evtimer_new (self->base, on_test_timeout, NULL);
+  evtimer_add (self->test_timeout, &limit);
   self->kernel = knl_kernel_new (knl_paused_clock_runtime (self->clock), 3);
   self->client = ht_client_new (self->kernel, self->base, &limits, 10 * KNL_SEC);
   self->dialect = pl_dialect_new ();
@@ -93,7 +93,7 @@
   pl_dialect_free (self->dialect);
   knl_kernel_free (self->kernel);
   knl_paused_clock_free (self->clock);
-  event_free (self->stuck);
+  event_free (self->test_timeout);
   event_base_free (self->base);
 }
 
@@ -142,7 +142,7 @@
  * the prompt can't run.
  */
 static void
-test_refused_part_gives_all_back (void)
+test_refusal_releases_all_parts (void)
 {
   static const ScriptedAnswer given[] = { { TAKEN, FALSE } };
   static const ScriptedAnswer refused[] = { { REFUSED, FALSE }, { TAKEN, FALSE } };
@@ -251,7 +251,7 @@
  * reservation, which is unknown to the new process, would reserve memory for a lost prompt.
  */
 static void
-test_lease_is_not_renewed_at_another_start (void)
+test_lease_is_not_renewed_after_restart (void)
 {
   static const ScriptedAnswer given[] = { { TAKEN, FALSE } };
   static const ScriptedAnswer *const scripts[2] = { given, given };
@@ -302,10 +302,10 @@
 }
 
 static const SuiteCase cases[] = {
-  { "a refused part gives all back", test_refused_part_gives_all_back },
+  { "a refused part gives all back", test_refusal_releases_all_parts },
   { "an order without answer is a short lease", test_order_without_answer_is_a_short_lease },
   { "held memory is renewed", test_held_memory_is_renewed },
-  { "a lease is not renewed at another start", test_lease_is_not_renewed_at_another_start },
+  { "a lease is not renewed at another start", test_lease_is_not_renewed_after_restart },
   { "limits in answers to orders", test_limits_in_answers_to_orders },
 };
 
--- a/tests/unit/sv_restart_test.c
+++ b/tests/unit/sv_restart_test.c
@@ -12,7 +12,7 @@
 {
   SvFixture *fixture = data;
 
-  ht_client_forget (fixture->client, endpoint->address);
+  ht_client_close_idle (fixture->client, endpoint->address);
   sv_core_note_replaced (fixture->core, endpoint);
 }
 
@@ -68,13 +68,13 @@
  * alone.
  */
 static void
-test_nothing_of_before_holds (void)
+test_a_restart_clears_what_was_known (void)
 {
   static const ScriptedAnswer ok = { OK_ANSWER, FALSE };
   static const SvLoad load = { .calls = 4, .tokens = 1000 };
-  static const SvRead read = { .prompt = 7, .length = 5 * KNL_SEC, .until_told = TRUE };
+  static const SvPrefill read = { .prompt = 7, .length = 5 * KNL_SEC, .until_told = TRUE };
   SvFixture fixture;
-  SvEndpointEntry again;
+  SvEndpointEntry restarted;
   SvEndpoint *endpoint;
   guint64 key_before;
 
@@ -83,15 +83,15 @@
   key_before = endpoint->key;
   sv_endpoint_charge (endpoint, &load, 1);
   sv_endpoint_set_peer (endpoint, 3, &load);
-  sv_fleet_add_read (fixture.fleet, &read, &key_before, 1);
+  sv_fleet_add_prefill (fixture.fleet, &read, &key_before, 1);
   sv_endpoint_note_loss (endpoint, knl_kernel_now (fixture.kernel));
-  again = entry_of (&fixture, 2000, 2);
-  sv_fleet_update (fixture.fleet, &again);
+  restarted = entry_of (&fixture, 2000, 2);
+  sv_fleet_update (fixture.fleet, &restarted);
   endpoint = endpoint_at (&fixture, 0);
   CU_ASSERT_EQUAL (sv_fleet_all (fixture.fleet)->len, 1);
   CU_ASSERT_EQUAL (sv_endpoint_load (endpoint, knl_kernel_now (fixture.kernel)).calls, 0);
-  CU_ASSERT_EQUAL (sv_endpoint_read_left (endpoint, knl_kernel_now (fixture.kernel)), 0);
-  CU_ASSERT_TRUE (sv_endpoint_usable (endpoint, knl_kernel_now (fixture.kernel)));
+  CU_ASSERT_EQUAL (sv_endpoint_prefill_left (endpoint, knl_kernel_now (fixture.kernel)), 0);
+  CU_ASSERT_TRUE (sv_endpoint_is_usable (endpoint, knl_kernel_now (fixture.kernel)));
   /* Later reports by peers about the previous start don't apply to this one. */
   CU_ASSERT_NOT_EQUAL (endpoint->key, key_before);
   CU_ASSERT_PTR_NULL (sv_fleet_by_key (fixture.fleet, key_before));
@@ -152,15 +152,15 @@
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
     {
       SvFixture fixture;
-      SvEndpointEntry again;
+      SvEndpointEntry restarted;
 
       open_with (&fixture, &silent, &ok);
-      sv_fixture_ask (&fixture, rows[i].path);
+      sv_fixture_request (&fixture, rows[i].path);
       sv_fixture_wait_requests (&fixture, 0, 1);
-      again = entry_of (&fixture, 2000, 2);
-      sv_fleet_update (fixture.fleet, &again);
+      restarted = entry_of (&fixture, 2000, 2);
+      sv_fleet_update (fixture.fleet, &restarted);
       sv_fixture_wait_for (&fixture, "\r\n\r\n");
-      CU_ASSERT_PTR_NOT_NULL (strstr (fixture.got->str, rows[i].answer));
+      CU_ASSERT_PTR_NOT_NULL (strstr (fixture.received->str, rows[i].answer));
       CU_ASSERT_EQUAL (sv_fixture_all_requests (&fixture), rows[i].sends);
       /* The new start isn't charged for any of it. */
       CU_ASSERT_EQUAL (endpoint_at (&fixture, 0)->own.calls, 0);
@@ -200,7 +200,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "a restart clears what was known", test_nothing_of_before_holds },
+  { "a restart clears what was known", test_a_restart_clears_what_was_known },
   { "entries that are not newer", test_entries_that_are_not_newer },
   { "requests in flight are lost", test_requests_in_flight_are_lost },
   { "entries of another era", test_entries_of_another_era },
--- a/tests/unit/sv_router_test.c
+++ b/tests/unit/sv_router_test.c
@@ -12,13 +12,13 @@
   .memory_tokens = 300000,
   .stride = 50,
   .step_ms = 1,
-  .writer_ms = 0.004,
+  .stream_step_ms = 0.004,
   .context_ms_per_k = 0.003,
-  .read_tokens_per_ms = 180,
+  .prefill_tokens_per_ms = 180,
   .pair_ms_per_m = 0.18,
   .chunk = 2048,
-  .usual_prompt = 10000,
-  .usual_answer = 1500,
+  .mean_prompt_tokens = 10000,
+  .mean_answer_tokens = 1500,
 };
 
 typedef struct
@@ -110,13 +110,15 @@
 }
 
 static void
-add_read (Fixture *self, const SvPlacement *placement, guint64 prompt)
+add_prefill (Fixture *self, const SvPlacement *placement, guint64 prompt)
 {
-  guint64 keys[SV_HELPERS + 1];
-  guint n = sv_placement_readers (placement, keys);
-  SvRead read = { .prompt = prompt, .length = placement->read, .until_told = placement->is_split };
+  guint64 keys[SV_MAX_HELPERS + 1];
+  guint n = sv_placement_prefill_keys (placement, keys);
+  SvPrefill prefill = { .prompt = prompt,
+                        .length = placement->prefill,
+                        .until_told = placement->is_split };
 
-  sv_fleet_add_read (self->fleet, &read, keys, n);
+  sv_fleet_add_prefill (self->fleet, &prefill, keys, n);
 }
 
 /* Starts the request: its load and its prefill count from now on. */
@@ -125,7 +127,7 @@
 {
   static guint64 prompt = 1000;
 
-  add_read (self, placement, prompt++);
+  add_prefill (self, placement, prompt++);
   sv_endpoint_charge (placement->first, &placement->load, 1);
 }
 
@@ -136,7 +138,7 @@
   guint n = 0;
 
   for (guint i = 0; i < all->len; i++)
-    n += ((SvEndpoint *)g_ptr_array_index (all, i))->own.writers[SV_PAUSE_TIGHT] > 0;
+    n += ((SvEndpoint *)g_ptr_array_index (all, i))->own.decoding_streams[SV_GAP_TIGHT] > 0;
   return n;
 }
 
@@ -178,12 +180,12 @@
     }
   placement = place_long (&fixture, 150000);
   CU_ASSERT (placement.n_helpers >= 3);
-  CU_ASSERT_EQUAL (placement.first->own.writers[SV_PAUSE_TIGHT], 0);
+  CU_ASSERT_EQUAL (placement.first->own.decoding_streams[SV_GAP_TIGHT], 0);
   for (guint i = 0; i < placement.n_helpers; i++)
-    CU_ASSERT_EQUAL (placement.helpers[i]->own.writers[SV_PAUSE_TIGHT], 0);
+    CU_ASSERT_EQUAL (placement.helpers[i]->own.decoding_streams[SV_GAP_TIGHT], 0);
   /* The parts add up to the full prompt. */
   CU_ASSERT_DOUBLE_EQUAL ((double)placement.part / KNL_MSEC * (placement.n_helpers + 1),
-                          sv_model_read_ms (&spec, 150000), 1);
+                          sv_model_prefill_ms (&spec, 150000), 1);
   fixture_close (&fixture);
 }
 
@@ -195,7 +197,7 @@
  * of running long prompts.
  */
 static void
-test_engines_with_few_places (void)
+test_engines_with_few_slots (void)
 {
   Fixture fixture;
   SvService *service;
@@ -214,9 +216,9 @@
     }
   CU_ASSERT (engines_with_tight (&fixture) >= 5);
   placement = place_long (&fixture, 150000);
-  CU_ASSERT_EQUAL (placement.first->own.writers[SV_PAUSE_TIGHT], 0);
+  CU_ASSERT_EQUAL (placement.first->own.decoding_streams[SV_GAP_TIGHT], 0);
   for (guint i = 0; i < placement.n_helpers; i++)
-    CU_ASSERT_EQUAL (placement.helpers[i]->own.writers[SV_PAUSE_TIGHT], 0);
+    CU_ASSERT_EQUAL (placement.helpers[i]->own.decoding_streams[SV_GAP_TIGHT], 0);
   fixture_close (&fixture);
 }
 
@@ -225,7 +227,7 @@
  * rejected prompt stays in the engines' backlog. It must be removed.
  */
 static void
-test_rejected_reading_is_taken_out (void)
+test_rejected_prefill_is_removed (void)
 {
   Fixture fixture;
   SvPlacement placement;
@@ -234,11 +236,11 @@
   fixture_open (&fixture, ENGINES);
   placement = place_long (&fixture, 250000);
   now = knl_kernel_now (fixture.kernel);
-  add_read (&fixture, &placement, 7);
-  CU_ASSERT (sv_endpoint_read_left (placement.first, now) > 0);
-  sv_fleet_end_read (fixture.fleet, 7);
-  CU_ASSERT_EQUAL (sv_endpoint_read_left (placement.first, now), 0);
-  CU_ASSERT_EQUAL (sv_endpoint_read_left (placement.helpers[0], now), 0);
+  add_prefill (&fixture, &placement, 7);
+  CU_ASSERT (sv_endpoint_prefill_left (placement.first, now) > 0);
+  sv_fleet_end_prefill (fixture.fleet, 7);
+  CU_ASSERT_EQUAL (sv_endpoint_prefill_left (placement.first, now), 0);
+  CU_ASSERT_EQUAL (sv_endpoint_prefill_left (placement.helpers[0], now), 0);
   fixture_close (&fixture);
 }
 
@@ -250,30 +252,30 @@
  * placed on top of the unfinished backlog.
  */
 static void
-test_reading_counts_until_it_is_over (void)
+test_prefill_counts_until_its_end (void)
 {
-  static const SvRead first = { .prompt = 1, .length = 300, .until_told = TRUE };
-  static const SvRead second = { .prompt = 2, .length = 200, .until_told = TRUE };
-  static const SvRead untold = { .prompt = 3, .length = 100 };
-  SvReads reads;
-
-  sv_reads_init (&reads);
-  sv_reads_add (&reads, &first, 1000);
-  sv_reads_add (&reads, &second, 1100);
-  CU_ASSERT_EQUAL (sv_reads_left (&reads, 1100), 400);
+  static const SvPrefill first = { .prompt = 1, .length = 300, .until_told = TRUE };
+  static const SvPrefill second = { .prompt = 2, .length = 200, .until_told = TRUE };
+  static const SvPrefill unreported = { .prompt = 3, .length = 100 };
+  SvPrefills prefills;
+
+  sv_prefills_init (&prefills);
+  sv_prefills_add (&prefills, &first, 1000);
+  sv_prefills_add (&prefills, &second, 1100);
+  CU_ASSERT_EQUAL (sv_prefills_time_left (&prefills, 1100), 400);
   /* The newer one goes first: when it ends, the older one still needs all of its remaining time. */
-  sv_reads_end (&reads, 2, 1250);
-  CU_ASSERT_EQUAL (sv_reads_left (&reads, 1250), 200);
-  sv_reads_add (&reads, &untold, 1250);
-  CU_ASSERT_EQUAL (sv_reads_left (&reads, 1350), 200);
-  CU_ASSERT_EQUAL (sv_reads_left (&reads, 1350 + 500), 0);
-  sv_reads_end (&reads, 1, 2000);
-  sv_reads_end (&reads, 1, 2000);
-  CU_ASSERT_EQUAL (reads.rows->len, 0);
-  sv_reads_add (&reads, &first, 3000);
-  CU_ASSERT_EQUAL (sv_reads_left (&reads, 3000 + SV_READ_LIFE), 0);
-  CU_ASSERT_EQUAL (reads.rows->len, 0);
-  sv_reads_clear (&reads);
+  sv_prefills_end (&prefills, 2, 1250);
+  CU_ASSERT_EQUAL (sv_prefills_time_left (&prefills, 1250), 200);
+  sv_prefills_add (&prefills, &unreported, 1250);
+  CU_ASSERT_EQUAL (sv_prefills_time_left (&prefills, 1350), 200);
+  CU_ASSERT_EQUAL (sv_prefills_time_left (&prefills, 1350 + 500), 0);
+  sv_prefills_end (&prefills, 1, 2000);
+  sv_prefills_end (&prefills, 1, 2000);
+  CU_ASSERT_EQUAL (prefills.rows->len, 0);
+  sv_prefills_add (&prefills, &first, 3000);
+  CU_ASSERT_EQUAL (sv_prefills_time_left (&prefills, 3000 + SV_PREFILL_TTL), 0);
+  CU_ASSERT_EQUAL (prefills.rows->len, 0);
+  sv_prefills_clear (&prefills);
 }
 
 /*
@@ -282,7 +284,7 @@
  * looks free again: prefill was counted for its own time only, but it ends with the pass.
  */
 static void
-test_short_prompt_is_read_with_its_pass (void)
+test_short_prefill_ends_with_its_pass (void)
 {
   Fixture fixture;
   SvPlacement placement;
@@ -291,9 +293,9 @@
   placement = place_short (&fixture);
   start (&fixture, &placement);
   knl_paused_clock_advance (fixture.clock, placement.part + 5 * KNL_MSEC);
-  CU_ASSERT (sv_endpoint_read_left (placement.first, knl_kernel_now (fixture.kernel)) > 0);
+  CU_ASSERT (sv_endpoint_prefill_left (placement.first, knl_kernel_now (fixture.kernel)) > 0);
   knl_paused_clock_advance (fixture.clock, 60 * KNL_MSEC);
-  CU_ASSERT_EQUAL (sv_endpoint_read_left (placement.first, knl_kernel_now (fixture.kernel)), 0);
+  CU_ASSERT_EQUAL (sv_endpoint_prefill_left (placement.first, knl_kernel_now (fixture.kernel)), 0);
   fixture_close (&fixture);
 }
 
@@ -304,9 +306,9 @@
  * looked cheaper than many.
  */
 static void
-test_long_prompt_is_not_read_whole_beside_streams (void)
+test_long_prompt_is_split_among_streams (void)
 {
-  static const SvLoad streams = { .calls = 4, .writers = { 4 }, .tokens = 20000 };
+  static const SvLoad streams = { .calls = 4, .decoding_streams = { 4 }, .tokens = 20000 };
   Fixture fixture;
   SvPlacement placement;
 
@@ -321,18 +323,18 @@
 
 /* A prefill next to streams also takes the time of their passes. */
 static void
-test_reading_beside_streams_takes_longer (void)
+test_prefill_next_to_streams_takes_longer (void)
 {
   Fixture fixture;
   SvPlacement placement;
 
   fixture_open (&fixture, 1);
   placement = place_long (&fixture, 60000);
-  CU_ASSERT_EQUAL (placement.read, placement.part);
+  CU_ASSERT_EQUAL (placement.prefill, placement.part);
   placement = place_short (&fixture);
   sv_endpoint_charge (placement.first, &placement.load, 1);
   placement = place_long (&fixture, 60000);
-  CU_ASSERT (placement.read > placement.part + 40 * KNL_MSEC);
+  CU_ASSERT (placement.prefill > placement.part + 40 * KNL_MSEC);
   fixture_close (&fixture);
 }
 
@@ -350,7 +352,7 @@
   fixture_open (&fixture, ENGINES);
   placement = place_long (&fixture, 250000);
   CU_ASSERT (placement.n_helpers > 0);
-  add_read (&fixture, &placement, 7);
+  add_prefill (&fixture, &placement, 7);
   sv_placement_ref (&placement);
   for (guint round = 0; round < 2; round++)
     {
@@ -359,7 +361,7 @@
       knl_paused_clock_advance (fixture.clock, 2 * KNL_SEC);
     }
   CU_ASSERT_EQUAL (sv_fleet_all (fixture.fleet)->len, 0);
-  sv_fleet_end_read (fixture.fleet, 7);
+  sv_fleet_end_prefill (fixture.fleet, 7);
   sv_placement_clear (&placement);
   CU_ASSERT_PTR_NULL (placement.first);
   fixture_close (&fixture);
@@ -403,7 +405,7 @@
 }
 
 static void
-test_full_places_are_told (void)
+test_full_endpoints_are_indicated (void)
 {
   static const SvLoad sixteen = { .calls = 16 };
   Fixture fixture;
@@ -427,32 +429,32 @@
   Fixture fixture;
   SvPlacement placement;
   SvEndpoint *busy;
-  SvEndpoint *named;
+  SvEndpoint *refusing;
   KnlTime now;
 
   fixture_open (&fixture, ENGINES);
   placement = place_long (&fixture, 200000);
   CU_ASSERT_FATAL (placement.n_helpers > 2);
   busy = placement.helpers[0];
-  named = placement.helpers[1];
+  refusing = placement.helpers[1];
   now = knl_kernel_now (fixture.kernel);
   for (guint i = 0; i < 14; i++)
     {
-      SvRead part = { .prompt = 100 + i, .until_told = TRUE };
+      SvPrefill part = { .prompt = 100 + i, .until_told = TRUE };
 
-      sv_fleet_add_read (fixture.fleet, &part, &busy->key, 1);
+      sv_fleet_add_prefill (fixture.fleet, &part, &busy->key, 1);
     }
   CU_ASSERT_FALSE (sv_endpoint_can_help (busy, now));
-  sv_endpoint_note_no_help (named, now);
-  CU_ASSERT_FALSE (sv_endpoint_can_help (named, now));
+  sv_endpoint_note_helper_rejection (refusing, now);
+  CU_ASSERT_FALSE (sv_endpoint_can_help (refusing, now));
   /* It can still run requests of its own. */
-  CU_ASSERT_TRUE (sv_endpoint_usable (named, now));
+  CU_ASSERT_TRUE (sv_endpoint_is_usable (refusing, now));
   placement = place_long (&fixture, 200000);
   for (guint i = 0; i < placement.n_helpers; i++)
-    CU_ASSERT (placement.helpers[i] != busy && placement.helpers[i] != named);
-  sv_endpoint_note_help (named);
-  CU_ASSERT_TRUE (sv_endpoint_can_help (named, now));
-  sv_fleet_end_read (fixture.fleet, 100);
+    CU_ASSERT (placement.helpers[i] != busy && placement.helpers[i] != refusing);
+  sv_endpoint_note_helper_success (refusing);
+  CU_ASSERT_TRUE (sv_endpoint_can_help (refusing, now));
+  sv_fleet_end_prefill (fixture.fleet, 100);
   CU_ASSERT_TRUE (sv_endpoint_can_help (busy, now));
   fixture_close (&fixture);
 }
@@ -460,16 +462,15 @@
 static const SuiteCase cases[] = {
   { "short streams leave engines free", test_short_streams_leave_engines_free },
   { "long prompts avoid short streams", test_long_prompts_avoid_short_streams },
-  { "engines with few places", test_engines_with_few_places },
-  { "rejected reading is taken out", test_rejected_reading_is_taken_out },
-  { "reading counts until it is over", test_reading_counts_until_it_is_over },
-  { "a short prompt is read with its pass", test_short_prompt_is_read_with_its_pass },
-  { "a long prompt is not read whole beside streams",
-    test_long_prompt_is_not_read_whole_beside_streams },
-  { "reading beside streams takes longer", test_reading_beside_streams_takes_longer },
+  { "engines with few places", test_engines_with_few_slots },
+  { "rejected reading is taken out", test_rejected_prefill_is_removed },
+  { "reading counts until it is over", test_prefill_counts_until_its_end },
+  { "a short prompt is read with its pass", test_short_prefill_ends_with_its_pass },
+  { "a long prompt is not read whole beside streams", test_long_prompt_is_split_among_streams },
+  { "reading beside streams takes longer", test_prefill_next_to_streams_takes_longer },
   { "endpoints outlive the fleet", test_endpoints_outlive_the_fleet },
   { "memory is spread over engines", test_memory_is_spread },
-  { "full places are told", test_full_places_are_told },
+  { "full places are told", test_full_endpoints_are_indicated },
   { "busy helpers are left out", test_busy_helpers_are_left_out },
 };
 
