--- a/gateway/era.c
+++ b/gateway/era.c
@@ -9,7 +9,7 @@
 
 static const CmMetricDef era_metric = {
   .name = "alderturn_store_eras_total",
-  .help = "Restorations of the store from an older copy",
+  .help = "Times that the store came back from an older copy",
   .type = CM_METRIC_COUNTER,
 };
 
--- a/serve/meters.c
+++ b/serve/meters.c
@@ -9,7 +9,7 @@
 
 static const CmMetricDef first_def = {
   .name = "alderturn_first_answer_seconds",
-  .help = "Time from the request to its first event or complete answer",
+  .help = "From the request to its first event or whole answer",
   .type = CM_METRIC_HISTOGRAM,
   .labels = { "workspace", "class" },
   .scale = 1e6,
@@ -17,7 +17,7 @@
 
 static const CmMetricDef total_def = {
   .name = "alderturn_request_seconds",
-  .help = "Time from the request to the end of its answer",
+  .help = "From the request to the end of its answer",
   .type = CM_METRIC_HISTOGRAM,
   .labels = { "workspace", "class" },
   .scale = 1e6,
@@ -32,14 +32,14 @@
 
 static const CmMetricDef limited_def = {
   .name = "alderturn_limited_sends_total",
-  .help = "Requests sent to endpoints that advertise a limit",
+  .help = "Requests sent to endpoints that name a limit",
   .type = CM_METRIC_COUNTER,
   .labels = { "service" },
 };
 
 static const CmMetricDef first_event_error_def = {
   .name = "alderturn_first_event_error_seconds",
-  .help = "Absolute difference between expected and actual time to the first event",
+  .help = "Distance between the expected and the seen time to the first event",
   .type = CM_METRIC_HISTOGRAM,
   .labels = { "direction" },
   .scale = 1e6,
