--- a/coord/fair_part.c
+++ b/coord/fair_part.c
@@ -8,7 +8,7 @@
   guint64 level = 0;
   guint n = wants->len;
 
-  /* `wants` is in rising order: each want that fits under an even part is met in turn. */
+  /* `wants` is ascending: each demand that does not exceed the equal share is met in turn. */
   for (guint i = 0; i < wants->len; i++)
     {
       guint64 want = g_array_index (wants, guint64, i);
--- a/coord/gossip.c
+++ b/coord/gossip.c
@@ -10,7 +10,7 @@
 
 struct CoGossip
 {
-  GSequence *items;  /* Item, by times sent, then by age */
+  GSequence *items;  /* Item, by number of sends, then by age */
   GHashTable *index; /* Item -> GSequenceIter */
   guint64 last_order;
 };
--- a/coord/lease.c
+++ b/coord/lease.c
@@ -8,30 +8,37 @@
 
 #define LEASE_PREFIX "lease/"
 
-/* Parts of a lease's time. */
+/* Intervals as divisors of the lease's duration. */
 #define TICKS_PER_LEASE    24
 #define SCANS_PER_LEASE    6
 #define RENEWALS_PER_LEASE 3
 
-/* A contender waits longer than the lease by this part of it, for clocks of unequal speed. */
+/* A contender waits 1/8 longer than the lease's duration, for clocks that run at unequal rates. */
 #define MARGIN_PART 8
 
-/* Scans of all candidates together are kept below so many a second by spacing out each one's. */
+/* Limit on the scans per second of all candidates together; each spaces out its own scans. */
 #define SCANS_PER_SECOND 50
 
-/* Of the candidates for a shard, each lower one lets the higher ones try for a while first. */
+/* Per rank: a candidate for a shard waits so that those ranked before it try first. */
 #define RANK_DELAY (500 * KNL_MSEC)
 
-/* A holder hands a shard to its first candidate once the candidates have been the same so long. */
+/*
+ * A shard is handed over to its preferred candidate once the candidates have
+ * not changed for the stable time; hand-overs are at least the interval apart.
+ */
 #define STABLE_TIME       (5 * KNL_SEC)
 #define HANDOVER_INTERVAL (500 * KNL_MSEC)
 
-/* A shard that came back after a hand-over is not handed over again for a while. */
+/* A shard that returned after a hand-over is not handed over again for this time. */
 #define HANDOVER_PAUSE (60 * KNL_SEC)
 
-/* Nor is one that has just been taken: its first candidate may be ending. */
+/*
+ * A shard that was just acquired is not handed over for this time: its
+ * preferred candidate may be shutting down.
+ */
 #define GAINED_PAUSE (10 * KNL_SEC)
 
+/* Maximum wait for the table to accept the release of all leases. */
 #define RELEASE_LIMIT (2 * KNL_SEC)
 
 CoLeases *
@@ -164,17 +171,19 @@
   CoLeaseShard *shard = &leases->shards[number];
 
   /*
-   * This process may have been paused: its timers run late, another may have
-   * taken over. The clock is therefore read here, at the time of the act; without
-   * that, two holders would grant the same memory and send contrary orders.
+   * This process may have been paused: its timers run late and another process
+   * may hold the lease by now. The clock is therefore read here, at the time of
+   * the action; otherwise two holders could grant the same memory and send
+   * conflicting orders.
    */
   if (!shard->held)
     return FALSE;
   if (co_leases_now (leases) >= shard->valid_until)
     {
       /*
-       * Users ask for one shard while they walk over what they keep for another;
-       * told of the lapse inside this call, they would change what they walk over.
+       * Code that iterates over its own tables may call this for each item. Its
+       * observer would change those tables, so observers are notified from a
+       * timer instead.
        */
       if (leases->lapse_timer == 0)
         leases->lapse_timer = knl_timer_start (leases->options.kernel, 0, on_lapse, leases);
@@ -262,7 +271,7 @@
                              leases->candidates->len, leases->options.name, shard->thing);
 }
 
-/* As co_lease_rank(), past the one who gave it up. */
+/* Like co_lease_rank(), but not counting the holder that released the shard. */
 static guint
 rank_to_take (const CoLeases *leases, const CoLeaseShard *shard)
 {
@@ -276,15 +285,16 @@
   return rank - 1;
 }
 
-/* TRUE once this process has itself watched the row long enough, or it is given up. */
+/* TRUE if there is no row, it is released or ours, or it was observed unchanged for long enough. */
 static gboolean
 can_be_taken (const CoLeases *leases, const CoLeaseShard *shard)
 {
   if (shard->version == 0 || shard->row.released || co_lease_is_ours (leases, shard))
     return TRUE;
   /*
-   * The holder's lease counts from before it sent the write that we first saw
-   * at `unchanged_since`. Taken over earlier, two holders would act at once.
+   * The holder counts its lease from before it sent the write that was first
+   * seen here at `unchanged_since`. With an earlier acquisition two holders
+   * could act at the same time.
    */
   return leases->scanned - shard->unchanged_since
          >= shard->row.duration + shard->row.duration / MARGIN_PART;
@@ -320,7 +330,7 @@
 {
   CoLeaseRow row;
 
-  /* An answer older than what we know, such as of a read sent before our own write. */
+  /* Ignore versions that aren't newer, such as from a scan sent before our last write. */
   if (version <= shard->version || !co_lease_row_parse (value, &row))
     return;
   co_lease_row_clear (&shard->row);
@@ -335,8 +345,11 @@
     }
   else if (shard->held)
     shard->valid_until = MAX (shard->valid_until, row.sent + leases->options.duration);
-  /* The answer to our take-over was lost: without this the shard would have no holder until
-     another take-over. */
+  /*
+   * The answer to our acquisition was lost but the write was carried out:
+   * without this branch the shard would have no holder until the next
+   * acquisition.
+   */
   else if (shard->acquiring && row.fence == shard->acquiring_fence
            && co_leases_now (leases) < row.sent + leases->options.duration)
     co_lease_gain (leases, shard, version);
@@ -403,7 +416,11 @@
   leases->released = NULL;
 }
 
-/* The shards are spread evenly only if those who started first give some up to those who follow. */
+/*
+ * Hands over a shard that has a preferred candidate other than this process.
+ * Without this, processes that started first would keep all shards, and those
+ * that start later would get none.
+ */
 static void
 hand_over_if_due (CoLeases *leases)
 {
--- a/coord/lease_write.c
+++ b/coord/lease_write.c
@@ -1,4 +1,4 @@
-/** Renewals, take-overs and releases: the writes of coord/lease.h and what their answers mean. */
+/** Writes of coord/lease.h and the handling of their answers: renewals, acquisitions, releases. */
 
 #include "coord/lease_private.h"
 
@@ -6,7 +6,7 @@
 
 #include "common/log.h"
 
-/* Pause before the rows are read again after a conflict. */
+/* Delay before the rows are read again after a conflict. */
 #define CONFLICT_DELAY (10 * KNL_MSEC)
 
 static CoLeaseRow
@@ -57,7 +57,10 @@
       else if (status != TB_UNKNOWN)
         shard->acquiring = FALSE;
     }
-  /* What the rows are now is found out by reading: a write on a guess would only conflict. */
+  /*
+   * The rows' versions are unknown now: without a scan first, the next write
+   * would only conflict.
+   */
   if (status == TB_CONFLICT || status == TB_UNKNOWN)
     leases->blocked_until = co_leases_now (leases);
   if (status == TB_CONFLICT && leases->write_kind == CO_LEASE_ACQUIRE)
@@ -73,7 +76,10 @@
                                   co_leases_tick, leases);
 }
 
-/* One transaction for all shards collected, so that renewals cost the same however many hold. */
+/*
+ * Sends one transaction for all collected shards, so that the number of
+ * renewals does not depend on how many shards this process holds.
+ */
 static void
 send_write (CoLeases *leases, CoLeaseWrite kind)
 {
--- a/coord/member.c
+++ b/coord/member.c
@@ -32,7 +32,7 @@
     g_ptr_array_add (members->suspects, record);
 }
 
-/** How long a suspect has to refute: news need a number of periods that grows as log n. */
+/** Time for a suspect to refute: an update spreads in a number of periods that grows with log n. */
 static KnlTime
 suspicion_time (CoMembers *members)
 {
@@ -43,7 +43,7 @@
 
 static void suspect_entries_of (CoMembers *members, const char *controller);
 
-/** Everything that follows from a record's having changed. */
+/** Sets the deadline of a changed record, queues it for gossip and notifies the observers. */
 static void
 on_changed (CoMembers *members, CoMemberRecord *record)
 {
@@ -88,10 +88,11 @@
 }
 
 /*
- * Nobody else would notice that an entry is gone together with the controller
- * that vouched for it: callers would be sent there until the platform's list
- * drops it. The entry has time to find another controller, which vouches for it
- * with a higher incarnation.
+ * An entry that fails together with the controller that vouched for it would
+ * not be detected otherwise: callers would be sent there until it is dropped
+ * from the platform's list. Its deadline is twice the suspicion time, so that
+ * it can link to another controller, which then vouches for it with a higher
+ * incarnation.
  */
 static void
 suspect_entries_of (CoMembers *members, const char *controller)
@@ -111,7 +112,7 @@
   g_ptr_array_unref (records);
 }
 
-/** News about this member itself, which alone can say what it is. */
+/** Handles a record of this member itself; a false one is refuted with a higher incarnation. */
 static void
 hear_of_self (CoMembers *members, const Alderturn__Member *update)
 {
@@ -126,7 +127,7 @@
     co_members_merge (members, update);
 }
 
-/** News about an entry linked to this controller, which refutes what is wrong for it. */
+/** Handles a record of an entry linked to this controller, which refutes a false one for it. */
 static void
 hear_of_vouched (CoMembers *members, CoMemberRecord *record, const Alderturn__Member *update)
 {
--- a/coord/member_frames.c
+++ b/coord/member_frames.c
@@ -3,22 +3,22 @@
 
 #include <math.h>
 
-/** Records on one probe or answer, besides the sender's own. */
+/** Queued records on one probe or ack, besides those of the sender and the recipient. */
 #define GOSSIP_PER_FRAME 24
 
-/** Each change is passed on this many times the logarithm of the number of controllers. */
+/** Each change is sent this many times the binary logarithm of the number of controllers. */
 #define GOSSIP_FACTOR 3
 
-/** Shortest time between two full comparisons begun by this member. */
+/** Minimum time between two full syncs started by this member. */
 #define SYNC_PAUSE (10 * KNL_SEC)
 
-/** Longer time between comparisons for each record, so that their cost stays the same. */
+/** The sync interval grows by this for each record, so that the cost over time stays constant. */
 #define SYNC_PER_RECORD (20 * KNL_MSEC)
 
-/** Periods between two searches for tombstones whose time is over. */
+/** Periods between two removals of expired tombstones. */
 #define PURGE_PERIODS 64
 
-/** Urgent news: told to so many at once, after a short wait for others, with a pause between. */
+/** Urgent updates: recipients of one burst, delay to batch updates, minimum time between bursts. */
 #define URGENT_FANOUT 3
 #define URGENT_DELAY  (20 * KNL_MSEC)
 #define URGENT_PAUSE  (200 * KNL_MSEC)
@@ -52,7 +52,10 @@
     g_ptr_array_add (gossip->list, &record->member);
 }
 
-/** This member's own record, what is thought of `to` if that is bad, and news. */
+/**
+ * The records to send to `to`: this member's own, that of `to` unless it is
+ * live, queued updates.
+ */
 static GPtrArray *
 gossip_for (CoMembers *members, const CoMemberRecord *to)
 {
@@ -115,7 +118,7 @@
   members->send (&to->member, WR_FRAME (MEMBER_UPDATE, member_update, &update), members->data);
 }
 
-/** Sends all records to `to`, which answers with what is newer there. */
+/** Starts a full sync: sends all records to `to`, which answers with those that are newer there. */
 static void
 begin_sync (CoMembers *members, CoMemberRecord *to)
 {
@@ -163,7 +166,7 @@
   return record != NULL && is_probed (members, record);
 }
 
-/** Sends a probe, for its news only, to a few others. */
+/** Sends the queued updates to a few controllers, on probes whose acks are ignored. */
 static void
 tell_now (gpointer data)
 {
@@ -186,9 +189,10 @@
 }
 
 /*
- * A leaving member must get no new work within seconds, and news that wait for
- * the next probe need several periods to reach everyone. Bursts have a pause
- * between them, so that a storm of news costs each member no more than that.
+ * A leaving member must stop receiving new work within seconds, but an update
+ * that waits for the next probe needs several periods to reach all controllers.
+ * A minimum time between bursts bounds the cost of many updates for each
+ * member.
  */
 void
 co_members_tell_soon (CoMembers *members)
@@ -202,7 +206,7 @@
   members->urgent_timer = knl_timer_start (members->kernel, delay, tell_now, members);
 }
 
-/** A random member of `kind` that is dead, or that is probed. */
+/** Returns a random dead controller if `dead` is set, else a random one that is probed; or NULL. */
 static CoMemberRecord *
 choose (CoMembers *members, gboolean dead)
 {
@@ -288,9 +292,10 @@
 }
 
 /*
- * News sent while a member was away have been passed on as often as they are
- * and are not told again: one would notice two members that stay of different
- * opinions. One that is met for the first time or again gets everything.
+ * Each update is sent a limited number of times, so a member that could not be
+ * reached during that time would never receive it, and the two members' records
+ * would stay different. A controller seen for the first time, or again after it
+ * was dead, therefore gets a full sync.
  */
 static void
 sync_when_met (CoMembers *members, const char *from, gboolean was_live)
@@ -334,7 +339,7 @@
   return g_strdup_printf ("%d/%s", (int)member->kind, member->name);
 }
 
-/** The records that the sender of `update` lacks or has older. */
+/** Returns the records that the sender of `update` lacks or has in an older version. */
 static GPtrArray *
 newer_than (CoMembers *members, const Alderturn__MemberUpdate *update)
 {
--- a/coord/member_known.c
+++ b/coord/member_known.c
@@ -76,7 +76,7 @@
     co_members_set_state (members, record, record->member.incarnation, LEAVING);
 }
 
-/** An endpoint that is in the list. */
+/** Applies the platform's listing of one endpoint. */
 static void
 seed_endpoint (CoMembers *members, const Alderturn__Member *listed)
 {
@@ -113,7 +113,10 @@
   record->listed_address = g_strdup (listed->address);
 }
 
-/** Endpoints that were not in the list just read. */
+/**
+ * Declares endpoints dead that have been missing from the list for longer than
+ * the grace period.
+ */
 static void
 bury_missing (CoMembers *members)
 {
--- a/coord/overlay.c
+++ b/coord/overlay.c
@@ -25,7 +25,7 @@
   return x->index < y->index ? -1 : 1;
 }
 
-/* Of each pair the lower name makes the one link that both keep. */
+/* In each pair, the controller with the lower name opens the only link. */
 static void
 choose_all (const CoPlace *self, const CoPlace *controllers, guint n_controllers, gboolean *keep)
 {
--- a/coord/prober.c
+++ b/coord/prober.c
@@ -1,15 +1,15 @@
 #include "coord/prober.h"
 
-/** How many others are asked to probe a member that does not answer. */
+/** Number of controllers asked to probe a member that does not answer. */
 #define HELPERS 3
 
-/** Probes on behalf of others that may be open at once; the oldest gives way. */
+/** Maximum number of open probes on behalf of other controllers; a new one replaces the oldest. */
 #define RELAYS 64
 
 typedef struct
 {
-  guint64 sequence; /* of this side's probe; 0: not used */
-  guint64 wanted;   /* of the probe that it stands for */
+  guint64 sequence; /* of the probe sent to the target; 0: unused slot */
+  guint64 wanted;   /* of the requester's probe */
   char *requester;
   char *target;
 } Relay;
@@ -24,10 +24,10 @@
   const CoProberOwner *owner;
   gpointer data;
   guint64 sequence;
-  GPtrArray *order; /* names left to probe in this pass */
-  char *target;     /* being probed, or NULL */
+  GPtrArray *order; /* names still to probe in this round */
+  char *target;     /* currently probed, or NULL */
   guint64 target_sequence;
-  KnlTime expected; /* when the next period begins */
+  KnlTime expected; /* when the next period should begin */
   KnlTime next_dead;
   KnlTimerId period_timer;
   KnlTimerId direct_timer;
@@ -48,7 +48,7 @@
     }
 }
 
-/** Owned copies of all present targets, in a random order. */
+/** Returns copies of the names of all current targets, in random order. */
 static GPtrArray *
 list_targets (CoProber *prober)
 {
@@ -63,7 +63,7 @@
   return copies;
 }
 
-/** The next target of this pass, of a new pass when it is over; NULL when there is none. */
+/** Returns the next target of this round, or of a new round when this one is over; NULL if none. */
 static char *
 next_target (CoProber *prober)
 {
@@ -121,9 +121,10 @@
 }
 
 /*
- * Members that were cut off for long are dead to both sides, and neither would
- * ever hear of the other again: one would notice two halves that each go on
- * alone after the network has healed. A probe now and then finds the other half.
+ * After a long network partition each side has declared the other dead and no
+ * longer probes it, so the two halves would stay separate after the network has
+ * recovered. Probing a dead member at intervals lets them find each other
+ * again.
  */
 static void
 probe_dead (CoProber *prober)
@@ -147,9 +148,9 @@
 }
 
 /*
- * A process that was stopped for a while finds its probe unanswered because it
- * could not read the answer, and would suspect members that are well. What was
- * open when it comes late says nothing of others.
+ * A process that was stopped could not read the ack of its open probe, and
+ * would suspect a healthy member. If this callback runs at least half a period
+ * late, the open probe is discarded.
  */
 static void
 on_period (gpointer data)
--- a/coord/share.c
+++ b/coord/share.c
@@ -2,14 +2,14 @@
 
 #include <math.h>
 
-/* An entry that has not reported for so long no longer counts. */
+/* An entry that has not reported for this time is no longer counted. */
 #define SILENT_AFTER (30 * KNL_SEC)
 
-/* One entry's use of one workspace. */
+/* Tokens served and waiting for one workspace at one entry. */
 typedef struct
 {
-  double served; /* decayed up to `at` */
-  guint64 waiting;
+  double served;   /* tokens, decayed up to `at` */
+  guint64 waiting; /* tokens */
   KnlTime at;
 } Use;
 
@@ -73,7 +73,7 @@
   return use;
 }
 
-/* Sums up the workspace's use over its entries, and forgets silent ones. */
+/* Sums up the workspace's use over all entries and removes those that no longer report. */
 static void
 sum_up (CoShares *shares, const char *workspace, double *served, double *demand)
 {
--- a/coord/subset.c
+++ b/coord/subset.c
@@ -3,17 +3,17 @@
 #include <string.h>
 #include <xxhash.h>
 
-/** Part of an entry's engines that are in other zones. */
+/** One in this many of an entry's engines is in another zone. */
 #define SPARE_PART 4
 
-/* One zone: how many entries and engines it has, and how many entries each engine takes. */
+/* One zone: its number of entries and engines, and how many entries each of its engines accepts. */
 typedef struct
 {
   const char *name;
   guint entries;
   guint engines;
-  guint home;  /* of its own zone */
-  guint spare; /* of others */
+  guint home;  /* accepted from its own zone */
+  guint spare; /* accepted from other zones */
 } Zone;
 
 typedef struct
@@ -46,8 +46,9 @@
 }
 
 /**
- * How many entries each engine of a zone takes, so that an entry gets about
- * `size` of them. Entries of a zone without engines count as at home in every zone.
+ * Computes how many entries each engine of a zone accepts, so that an entry
+ * gets about `size` engines. Entries of a zone without engines are treated as
+ * local in every zone.
  */
 static void
 share_out (GArray *zones, guint size)
@@ -76,7 +77,7 @@
     }
 }
 
-/** A well mixed number of the pair: the murmur finaliser over both hashes. */
+/** Weight of an entry for an engine: MurmurHash3's finalizer applied to both hashes. */
 static guint64
 weight (const Place *entry, const Place *engine)
 {
@@ -95,7 +96,10 @@
   return entry->zone == engine->zone || entry->zone->engines == 0;
 }
 
-/** Whether `self` is among the entries of its group that `engine` gives the highest weights. */
+/**
+ * Whether `engine` accepts `self`: it accepts the entries of the highest
+ * weights, separately among local entries and those of other zones.
+ */
 static gboolean
 engine_takes (const Place *engine, const Place *self, const Place *entries, guint n_entries)
 {
@@ -137,7 +141,7 @@
   return FALSE;
 }
 
-/** All zones, filled before places point into the array, so that it does not move any more. */
+/** Counts all zones before any Place points into the array, so that it isn't reallocated later. */
 static GArray *
 zones_new (const CoPlace *self,
            gboolean count_self,
--- a/coord/suspect.c
+++ b/coord/suspect.c
@@ -6,26 +6,26 @@
 
 #define ROW_PREFIX "suspect/"
 
-/* So many crashes quarantine. */
+/* Number of crashes that quarantine a fingerprint. */
 #define QUARANTINE 2
 
 #define PAGE_ROWS  500
 #define WRITE_ROWS 64
 
-/* Pause before rows that could not be written are tried again, and before a first write, for others
- * to go with. */
+/* Delay before a write, to batch several rows, and before a failed write is retried. */
 #define WRITE_DELAY (20 * KNL_MSEC)
 #define RETRY_DELAY (2 * KNL_SEC)
 
 typedef struct
 {
   guint64 fingerprint;
-  char *crashes[QUARANTINE]; /* "ENDPOINT~INCARNATION" of those known by name */
-  guint count;               /* crashes, those known by number only included */
+  char *crashes[QUARANTINE]; /* "ENDPOINT~INCARNATION" of each known crash; NULL: unused */
+  guint count;               /* crashes, including those known by their number only */
   KnlTime expires;
-  guint64 version; /* of the row as last seen; 0: none */
-  gboolean dirty;  /* the row lacks what is known */
-  guint64 seen; /* number of the scan that last found the row, or of the one before its writing */
+  guint64 version; /* of the row as last seen; 0: no row */
+  gboolean dirty;  /* the row must be written or deleted */
+  guint64 seen;    /* number of the scan that last found the row, or that was current when it was
+                      written */
 } Suspect;
 
 struct CoSuspects
@@ -35,8 +35,8 @@
   TbCallId scan;
   TbCallId write;
   GArray *written; /* fingerprints */
-  char *after;     /* key of the last row scanned */
-  guint64 scans;   /* number of the scan under way */
+  char *after;     /* key of the last row scanned; NULL: start */
+  guint64 scans;   /* number of the current scan */
   KnlTimerId scan_timer;
   KnlTimerId write_timer;
 };
@@ -106,7 +106,11 @@
   suspects->options.changed (&update, suspects->options.data);
 }
 
-/* A flood of crashing requests must not take all memory; a quarantined one is worth more. */
+/*
+ * Evicts an entry when the table is full, so that a flood of crashing requests
+ * can't exhaust the memory. The entry with the fewest crashes is evicted, since
+ * quarantined ones matter most; of several, the one that expires first.
+ */
 static void
 make_room (CoSuspects *suspects)
 {
@@ -143,7 +147,7 @@
   return suspect;
 }
 
-/* TRUE when the crash was not known by name. */
+/* TRUE if the crash was added; FALSE if it is known or the list is full. */
 static gboolean
 add_crash (Suspect *suspect, const char *crash)
 {
@@ -172,7 +176,7 @@
 gboolean
 co_suspects_crash (CoSuspects *suspects, const Alderturn__CrashReport *report, gboolean own)
 {
-  /* The same process can crash once only: however many entries report it, it counts once. */
+  /* A process can crash only once: its crash counts once, however many entries report it. */
   char *crash =
       g_strdup_printf ("%s~%" G_GUINT64_FORMAT, report->endpoint, report->endpoint_incarnation);
   gboolean news = FALSE;
@@ -256,7 +260,11 @@
     tell (suspects, suspect);
 }
 
-/* A row that another has deleted must not be taken for one that is still to be deleted. */
+/*
+ * Called at the end of a scan: a row that it did not find was deleted by
+ * another controller. Its entry is marked as having no row, so that expire()
+ * does not try to delete the row again.
+ */
 static void
 forget_deleted_rows (CoSuspects *suspects)
 {
@@ -272,7 +280,11 @@
   suspects->scans++;
 }
 
-/* Who still has the row deletes it; if it has been written since, the check fails. */
+/*
+ * Removes expired entries. One that still has a row is marked so that the row
+ * is deleted first; the deletion's check fails if another controller has
+ * written the row since.
+ */
 static void
 expire (CoSuspects *suspects)
 {
@@ -370,7 +382,7 @@
       want_write (suspects, WRITE_DELAY);
       return;
     }
-  /* Rows changed by others, or written without our knowing, are read; the rest is tried again. */
+  /* Others may have changed the rows, or this write may have succeeded: scan them, then retry. */
   if (status != TB_UNAVAILABLE)
     schedule_scan (suspects, 0);
   want_write (suspects, RETRY_DELAY);
--- a/include/coord/fair_part.h
+++ b/include/coord/fair_part.h
@@ -1,12 +1,14 @@
 #pragma once
 
-/** Max-min fair parts of a capacity. */
+/** Max-min fair shares of a capacity. */
 
 #include <glib.h>
 
 /**
- * What one of several should have of `capacity`: each what it wants (`wants`, guint64 in rising
- * order; `own` is this one's) as long as that goes round, else the same for all that want more.
- * What nobody wants is shared out evenly, and so is the part `reserve` of it, whatever is wanted.
+ * Returns one participant's share of `capacity`. `wants` holds the demands of
+ * all participants (guint64, ascending) and `own` is this one's. A demand up to
+ * the equal share of what remains is met in full; larger ones get that equal
+ * share. The fraction `reserve` of the capacity (0 to 1), and capacity that is
+ * not in demand, are divided equally among all.
  */
 guint64 co_fair_part (const GArray *wants, guint64 own, guint64 capacity, double reserve);
--- a/include/coord/gossip.h
+++ b/include/coord/gossip.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * News waiting to be passed on: names of changed members, each sent a limited
- * number of times, the least often sent first.
+ * Queue of member updates to send by gossip: names of changed members, each
+ * sent a limited number of times, those sent the fewest times first.
  */
 
 #include <glib.h>
@@ -14,13 +14,16 @@
 CoGossip *co_gossip_new (void);
 void co_gossip_free (CoGossip *gossip);
 
-/** The member has changed: it is to be sent anew, from the first time on. */
+/** Queues a changed member; if it is already queued, its count of sends restarts at 0. */
 void co_gossip_add (CoGossip *gossip, Alderturn__MemberKind kind, const char *name);
 
 typedef void (*CoGossipFunc) (Alderturn__MemberKind kind, const char *name, gpointer data);
 
-/** Calls `func` for up to `count` members and counts a sending for each; the `limit`th is the last.
+/**
+ * Calls `func` for up to `count` members and counts one send for each. A member
+ * that has been sent `limit` times is removed.
  */
 void co_gossip_take (CoGossip *gossip, guint count, guint limit, CoGossipFunc func, gpointer data);
 
+/** Number of queued members. */
 guint co_gossip_waiting (const CoGossip *gossip);
--- a/include/coord/lease_private.h
+++ b/include/coord/lease_private.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** The state behind coord/lease.h, shared by the files that make it up; not for others. */
+/** Internal state of coord/lease.h, shared by the files that implement it. */
 
 #include "coord/lease.h"
 #include "coord/lease_row.h"
@@ -10,18 +10,18 @@
   guint number;
   char *key;
   char *fence_key;
-  char *thing; /* name for rendezvous hashing */
+  char *thing; /* key for rendezvous hashing */
   /* As last read or written: */
   guint64 version; /* 0: there is no row */
   CoLeaseRow row;
-  KnlTime unchanged_since; /* when this version was first seen */
-  KnlTime free_since;      /* since when it could be taken; KNL_NEVER: it can't */
+  KnlTime unchanged_since; /* when this version was first read or written */
+  KnlTime free_since;      /* since when it can be acquired; KNL_NEVER: it can't */
   KnlTime no_handover_until;
   /* Of this process: */
   gboolean held;
-  gboolean acquiring; /* a take-over was sent and its answer may be lost */
+  gboolean acquiring; /* an acquisition was sent; its answer is pending or lost */
   guint64 acquiring_fence;
-  guint64 fence_version; /* version of the row "fence/N" as this process wrote it */
+  guint64 fence_version; /* version of the row "fence/N" written by this process */
   KnlTime valid_until;
 } CoLeaseShard;
 
@@ -44,22 +44,22 @@
   CoLeaseShard *shards;
   GArray *observers;
   GPtrArray *candidates; /* names */
-  KnlTime stable_since;  /* since when the candidates are the same */
+  KnlTime stable_since;  /* when the candidates last changed */
   KnlTimerId tick;
-  KnlTimerId lapse_timer; /* waits to tell of leases that have lapsed */
+  KnlTimerId lapse_timer; /* notifies the observers of expired leases */
   KnlTime renewed;        /* when renewals were last sent */
   KnlTime handed_over;
   /* The scan: */
   TbCallId scan_call;
   KnlTime scan_sent;
-  KnlTime scanned; /* when the last one that succeeded was sent */
-  /* The one write under way: */
+  KnlTime scanned; /* when the last successful one was sent; -1: none */
+  /* The write in flight, at most one: */
   TbCallId write_call;
   CoLeaseWrite write_kind;
   KnlTime write_sent;
   GArray *written;       /* shard numbers */
-  KnlTime blocked_until; /* no write before a scan sent at or after this */
-  guint acquire_batch;   /* shards taken at once */
+  KnlTime blocked_until; /* no writes until a scan sent at this time or later succeeds */
+  guint acquire_batch;   /* maximum number of shards in one acquisition */
   /* Release: */
   gboolean releasing;
   KnlTimerId release_timer;
@@ -73,20 +73,20 @@
   return knl_kernel_now (leases->options.kernel);
 }
 
-/** Looks at what is due; starts its own timer anew. */
+/** Timer callback: starts the scans and writes that are due and restarts its timer. */
 void co_leases_tick (gpointer leases);
 
-/** Sends one transaction of `kind` for all shards that want it, unless another is under way. */
+/** Sends one transaction of `kind` for all shards that need it, unless a write is in flight. */
 void co_leases_write (CoLeases *leases, CoLeaseWrite kind);
 
-/** The row as last seen is of this very process, and not given up. */
+/** Whether the row as last seen was written by this process and isn't released. */
 gboolean co_lease_is_ours (const CoLeases *leases, const CoLeaseShard *shard);
 
-/** How many candidates come before this one. */
+/** How many candidates precede this one for the shard; 0: it is the preferred candidate. */
 guint co_lease_rank (const CoLeases *leases, const CoLeaseShard *shard);
 
-/** Whether this process should try to take the shard now. */
+/** Whether this process should try to acquire the shard now. */
 gboolean co_lease_should_take (const CoLeases *leases, const CoLeaseShard *shard);
 
-/** The shard is this process's, by the write of `version`. */
+/** Marks the shard as held by this process; `version` is that of the write that acquired it. */
 void co_lease_gain (CoLeases *leases, CoLeaseShard *shard, guint64 version);
--- a/include/coord/lease_row.h
+++ b/include/coord/lease_row.h
@@ -12,13 +12,13 @@
   guint64 incarnation;
   guint64 fence;
   KnlTime duration;
-  KnlTime sent; /**< on the holder's own clock; means nothing to others */
+  KnlTime sent; /**< on the holder's clock; not comparable with other processes' clocks */
   gboolean released;
 } CoLeaseRow;
 
-/** FALSE when `value` is none; free with co_lease_row_clear(). */
+/** Returns FALSE if `value` is not a valid row; clear `row` with co_lease_row_clear(). */
 gboolean co_lease_row_parse (const char *value, CoLeaseRow *row);
 void co_lease_row_clear (CoLeaseRow *row);
 
-/** Free with free(). */
+/** The row as text to store; free it with free(). */
 char *co_lease_row_value (const CoLeaseRow *row);
--- a/include/coord/member.h
+++ b/include/coord/member.h
@@ -1,22 +1,25 @@
 #pragma once
 
 /**
- * Membership: which entries, controllers and endpoints there are, as far as
- * this process knows. A hint only; nothing that must be safe rests on it.
+ * Membership: the entries, controllers and endpoints known to this process. It
+ * is a hint only; safety must not depend on it.
  *
- * Controllers find each other's failures in SWIM's way: each probes one other
- * in turn, first itself, then through a few others, and suspects it for a while
- * before it calls it dead; a member that hears itself suspected refutes that
- * with a higher incarnation. News travel on probes and their answers, a bounded
- * number on each, so that the cost of a member does not grow with their number.
- * Dead ones are remembered and probed now and then, so that a region that was
- * cut off comes back by itself.
+ * Controllers detect each other's failures with the SWIM protocol. Each one
+ * probes the others in turn, first directly, then through a few other
+ * controllers. A member that does not answer is suspect for some time before it
+ * is declared dead; a member that receives a suspicion of itself refutes it
+ * with a higher incarnation. Updates are piggybacked on probes and acks, a
+ * bounded number on each, so that the cost for each member does not grow with
+ * the number of members. Dead members are kept and probed at intervals, so that
+ * a region that was partitioned rejoins without intervention.
  *
- * Entries are vouched for by the controller that they are linked to. Endpoints
- * come from the platform's list; that they are leaving also from themselves.
+ * An entry is vouched for by the controller that it is linked to: that
+ * controller reports its state. Endpoints come from the platform's list; an
+ * endpoint may also advertise itself that it is leaving.
  *
- * No sockets: frames go out by a function of the owner, those that came in are
- * handed to co_members_handle_*(). A member's name is unique within its kind.
+ * This module opens no sockets: frames are sent by a function of the owner, and
+ * received frames are passed to co_members_handle_*(). A member's name is
+ * unique within its kind.
  */
 
 #include "kernel/kernel.h"
@@ -24,30 +27,33 @@
 
 typedef struct CoMembers CoMembers;
 
-/** Sends a frame to controller `to`, over a link made when there is none; it may be lost. */
+/** Sends a frame to controller `to`, opening a link if there is none. The frame may be lost. */
 typedef void (*CoMemberSendFunc) (const Alderturn__Member *to,
                                   const Alderturn__Frame *frame,
                                   gpointer data);
 
-/** A member is new or has changed; state DEAD: it is gone. Never called inside co_members_foreach.
+/**
+ * An observer: the member was added or has changed; if its state is DEAD, it
+ * has failed or left. Observers aren't called inside co_members_foreach(),
+ * whose visitors have this type too.
  */
 typedef void (*CoMemberFunc) (const Alderturn__Member *member, gpointer data);
 
-/** Times of the protocol; {0} fields stand for the defaults. */
+/** Times of the protocol; a field that is 0 selects its default. */
 typedef struct
 {
-  KnlTime period;     /**< between two probes of this member; default 1 s */
-  KnlTime direct;     /**< wait for an answer before others are asked to probe; default 400 ms */
-  KnlTime suspicion;  /**< from suspected to dead among few members; default 3 s, grows as log n */
+  KnlTime period;     /**< between two probes sent by this member; default 1 s */
+  KnlTime direct;     /**< wait for an ack before indirect probes are sent; default 400 ms */
+  KnlTime suspicion;  /**< from suspect to dead; default 3 s, grows with log10 of the controllers */
   KnlTime dead_probe; /**< between two probes of dead members; default 5 s */
-  KnlTime tombstone;  /**< for how long dead members are remembered; default 2 h */
-  KnlTime sync;       /**< between two comparisons of all records; default 30 s, grows with n */
-  KnlTime list_grace; /**< for how long an endpoint may be missing in the list; default 15 s */
+  KnlTime tombstone;  /**< how long dead members are kept; default 2 h */
+  KnlTime sync;       /**< between two full syncs; default 30 s, grows with the number of records */
+  KnlTime list_grace; /**< how long an endpoint may be missing from the list; default 15 s */
 } CoMemberTimes;
 
 /**
- * `self` is copied: this controller's own record, with the incarnation of its
- * process. Probing begins at once.
+ * `self` is this controller's own record, with the incarnation of its process;
+ * it is copied. `times` may be NULL. Probing starts immediately.
  */
 CoMembers *co_members_new (KnlKernel *kernel,
                            const Alderturn__Member *self,
@@ -56,54 +62,69 @@
                            gpointer data);
 void co_members_free (CoMembers *members);
 
-/** Adds an observer; it lives as long as the members. */
+/** Adds an observer; it can't be removed. */
 void co_members_observe (CoMembers *members, CoMemberFunc func, gpointer data);
 
 /**
- * The platform's list, incarnations 0. Controllers and entries not known are
- * taken as live; what is known of them by other means goes first. Endpoints
- * follow the list: new ones are live, `leaving` is believed, missing ones are dead after a grace.
+ * Applies the platform's list, whose incarnations are 0. Controllers and
+ * entries that are not known yet are added with the state listed; known ones
+ * are left as they are, since the protocol's own records take precedence.
+ * Endpoints follow the list: new ones are live, a listed state of LEAVING is
+ * applied, and missing ones become dead after `list_grace`.
  */
 void co_members_seed (CoMembers *members, Alderturn__Member *const *list, guint count);
 
-/** Frames from the controller named `from`. */
+/** Handle frames received from the controller named `from`. */
 void co_members_handle_probe (CoMembers *members, const char *from, const Alderturn__Probe *probe);
 void co_members_handle_ack (CoMembers *members, const char *from, const Alderturn__ProbeAck *ack);
 
-/** An update from a controller: with `full` the sender wants to know what it lacks. */
+/**
+ * Handles an update from a controller; if it is `full`, the records that the
+ * sender lacks are sent back.
+ */
 void co_members_handle_update (CoMembers *members,
                                const char *from,
                                const Alderturn__MemberUpdate *update);
 
 /**
- * An entry is linked to this controller: it is live, or leaving when `leaving`.
- * `entry->incarnation` is that of its process.
+ * Vouches for an entry that is linked to this controller: it is live, or
+ * leaving if `leaving` is set. `entry->incarnation` is that of its process.
  */
 void co_members_vouch (CoMembers *members, const Alderturn__Member *entry, gboolean leaving);
 
-/** The link to that entry is gone: it is suspect, and dead later unless another vouches for it. */
+/**
+ * Called when the link to that entry has closed. A live entry becomes suspect,
+ * and dead after the suspicion time unless a controller vouches for it again;
+ * an entry that was leaving is dead.
+ */
 void co_members_unvouch (CoMembers *members, const char *name);
 
-/** This controller itself is leaving. */
+/** Marks this controller itself as leaving. */
 void co_members_leave (CoMembers *members);
 
-/** What an endpoint says of itself; a higher incarnation is a new process. */
+/** Applies the state that an endpoint advertises; a higher incarnation is a new process. */
 void co_members_note_endpoint (CoMembers *members,
                                Alderturn__MemberKind kind,
                                const char *name,
                                guint64 incarnation,
                                gboolean leaving);
 
-/** Marks a member as leaving in its present incarnation. */
+/** Marks a member as leaving in its current incarnation. */
 void co_members_mark_leaving (CoMembers *members, Alderturn__MemberKind kind, const char *name);
 
-/** The member, dead ones too, or NULL; valid until the next call that changes members. */
+/**
+ * Returns the member, which may be dead, or NULL; valid until the next call
+ * that changes members.
+ */
 const Alderturn__Member *
 co_members_find (CoMembers *members, Alderturn__MemberKind kind, const char *name);
 
 const Alderturn__Member *co_members_self (CoMembers *members);
 
-/** All that are not dead, of `kind` or (UNSPECIFIED) of every kind, in order of kind and name. */
+/**
+ * Visits all members that are not dead, of `kind` or (UNSPECIFIED) of all
+ * kinds, by kind and name.
+ */
 void co_members_foreach (CoMembers *members,
                          Alderturn__MemberKind kind,
                          CoMemberFunc func,
@@ -111,5 +132,8 @@
 
 guint co_members_count (CoMembers *members, Alderturn__MemberKind kind);
 
-/** All that are not dead, as a full update for an entry; free it with free_unpacked. */
+/**
+ * Returns a full update for an entry, with all members that are not dead; free
+ * it with alderturn__member_update__free_unpacked().
+ */
 Alderturn__MemberUpdate *co_members_update_new (CoMembers *members);
--- a/include/coord/member_private.h
+++ b/include/coord/member_private.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** The state behind coord/member.h, shared by the files that make it up; not for others. */
+/** Internal state of coord/member.h, shared by the files that implement it. */
 
 #include "coord/gossip.h"
 #include "coord/member.h"
@@ -19,7 +19,7 @@
   CoProber *prober;
   GArray *observers;
   GPtrArray *suspects; /**< CoMemberRecord with a deadline */
-  guint controllers;   /**< not dead, this one included; counted each period */
+  guint controllers;   /**< not dead, including this one; updated each period */
   KnlTime next_sync;
   KnlTime last_sync;
   guint periods;
@@ -27,26 +27,36 @@
   KnlTime last_urgent;
 };
 
-/** Takes news of any member from outside; this member and its own entries refute what is wrong. */
+/**
+ * Handles a record received from outside; refutes false ones about this member
+ * and the entries it vouches for.
+ */
 void co_members_hear (CoMembers *members, const Alderturn__Member *update);
 
-/** Takes `update` if it is newer, with all that follows; the changed record or NULL. */
+/**
+ * Applies `update` if it is newer and notifies the observers; returns the
+ * changed record or NULL.
+ */
 CoMemberRecord *co_members_merge (CoMembers *members, const Alderturn__Member *update);
 
-/** Sets a record's state in `incarnation`; no effect when that is not newer. */
+/** Sets a record's incarnation and state; no effect unless they are newer than the record's. */
 void co_members_set_state (CoMembers *members,
                            CoMemberRecord *record,
                            guint64 incarnation,
                            Alderturn__MemberState state);
 
-/** Calls dead the suspects whose time is over; `late`: time in which nothing could be heard. */
+/**
+ * Declares suspects dead whose deadline has passed. All deadlines are first
+ * extended by `late`, a time in which this process could not receive
+ * refutations.
+ */
 void co_members_expire_suspects (CoMembers *members, KnlTime late);
 
-/** Forgets dead members whose time is over. */
+/** Removes members that have been dead for longer than the tombstone time. */
 void co_members_purge (CoMembers *members);
 
-/** Tells a few others at once, where waiting for the next probes would take too long. */
+/** Announces queued updates to a few controllers shortly, without waiting for the next probes. */
 void co_members_tell_soon (CoMembers *members);
 
-/** What the prober asks of its owner, a CoMembers. */
+/** Callbacks of the prober; their data is a CoMembers. */
 extern const CoProberOwner co_members_prober_owner;
--- a/include/coord/prober.h
+++ b/include/coord/prober.h
@@ -1,9 +1,10 @@
 #pragma once
 
 /**
- * Whether other controllers answer: one is probed each period, in a shuffled
- * order that visits all; when it does not answer in time, a few others are
- * asked to probe it, so that one broken path is not taken for a dead member.
+ * Failure detection among controllers: one is probed each period, in a shuffled
+ * order that visits all of them. If it does not answer in time, a few others
+ * are asked to probe it, so that one broken network path is not mistaken for a
+ * failed member.
  */
 
 #include "kernel/kernel.h"
@@ -11,20 +12,23 @@
 
 typedef struct CoProber CoProber;
 
-/** What the prober asks of its owner. */
+/** Callbacks of the prober. */
 typedef struct
 {
-  /** Adds the names of all members to be probed; they need not stay valid. */
+  /** Adds the names of all members to probe; they are copied. */
   void (*list) (GPtrArray *names, gpointer data);
-  /** Whether that member is still to be probed. */
+  /** Whether that member should still be probed. */
   gboolean (*is_target) (const char *name, gpointer data);
-  /** A dead member's name, chosen at random, or NULL. */
+  /** Returns the name of a random dead member, or NULL. */
   const char *(*choose_dead) (gpointer data);
   void (*send_probe) (const char *to, guint64 sequence, const char *target, gpointer data);
   void (*send_ack) (const char *to, guint64 sequence, const char *target, gpointer data);
-  /** Neither the member nor anyone who was asked to probe it answered. */
+  /** Called when neither a direct nor an indirect probe of the member was acknowledged. */
   void (*unanswered) (const char *name, gpointer data);
-  /** Once each period; `late`: how long this process was away when it should have run, or 0. */
+  /**
+   * Called once each period; `late` is how long this process failed to run (it
+   * was stopped), or 0.
+   */
   void (*period) (KnlTime late, gpointer data);
 } CoProberOwner;
 
--- a/include/coord/request_id.h
+++ b/include/coord/request_id.h
@@ -1,8 +1,11 @@
 #pragma once
 
-/** Request ids: "INSTANCE~INCARNATION~NUMBER", made by the entry. */
+/** Request ids: "INSTANCE~INCARNATION~NUMBER", assigned by the entry. */
 
 #include <glib.h>
 
-/** The process that made a request; `instance` is freed with g_free. FALSE: it is no request id. */
+/**
+ * Returns the process that assigned a request id, or FALSE if `request` is not
+ * one. Free `instance` with g_free().
+ */
 gboolean co_request_parse (const char *request, char **instance, guint64 *incarnation);
--- a/include/coord/share.h
+++ b/include/coord/share.h
@@ -1,9 +1,10 @@
 #pragma once
 
 /**
- * Weighted shares of workspaces over all entries together: the holder of a
- * workspace's shard sums up what its entries have served, decayed, so that a
- * workspace that floods one entry is held back at all of them.
+ * Each workspace's use summed over all entries. The holder of the workspace's
+ * shard sums up the tokens that the entries have served for it, with
+ * exponential decay, so that a workspace that floods one entry is throttled at
+ * all of them.
  */
 
 #include "kernel/kernel.h"
@@ -11,18 +12,18 @@
 
 typedef struct CoShares CoShares;
 
-/** What was served counts half after `half_life`. */
+/** The weight of served tokens halves every `half_life`. */
 CoShares *co_shares_new (KnlKernel *kernel, KnlTime half_life);
 void co_shares_free (CoShares *shares);
 
-/** Takes one entry's demand and fills its share; `share->workspace` is left alone. */
+/** Applies one entry's reported demand and fills in its share, except `share->workspace`. */
 void co_shares_report (CoShares *shares,
                        const char *entry,
                        guint64 incarnation,
                        const Alderturn__ShareReport__Demand *demand,
                        Alderturn__ShareUpdate__Share *share);
 
-/** Forgets a workspace, whose shard this process no longer holds. */
+/** Removes each workspace for which `lost` is TRUE: this process no longer holds its shard. */
 void co_shares_forget (CoShares *shares,
                        gboolean (*lost) (const char *workspace, gpointer data),
                        gpointer data);
--- a/include/coord/subset.h
+++ b/include/coord/subset.h
@@ -1,17 +1,18 @@
 #pragma once
 
 /**
- * Which engines of a service an entry uses: all when they are few, else about
- * as many as wanted, most of them in its own zone and some spare ones in
- * others. Every entry works it out from the same lists without asking anyone.
+ * The engines of a service that an entry uses: all if there are few, else about
+ * the requested number, most of them in its own zone and some spare ones in
+ * other zones. Each entry computes this from the same lists, without
+ * coordination.
  */
 
 #include <glib.h>
 
-/** Engines an entry uses of one service when there are more. */
+/** Approximate number of a service's engines that an entry uses, if it has more. */
 #define CO_SUBSET_SIZE 40
 
-/** An entry or an engine. Strings are not copied. */
+/** Name and zone of an entry, engine or controller. Strings are not copied. */
 typedef struct
 {
   const char *name;
@@ -26,8 +27,9 @@
 } CoSubsetPart;
 
 /**
- * Sets `parts[i]` for each of `engines`. `entries` are all live ones; `self` is
- * counted whether it is among them or not. Orders of the lists don't matter.
+ * Sets `parts[i]` for each of `engines`. `entries` are all live entries; `self`
+ * is counted even if it isn't among them. `size` is the number of engines to
+ * choose, approximately. The order of the lists does not matter.
  */
 void co_subset_choose (const CoPlace *self,
                        const CoPlace *entries,
--- a/include/coord/suspect.h
+++ b/include/coord/suspect.h
@@ -1,11 +1,12 @@
 #pragma once
 
 /**
- * Requests that endpoints crash on, by the fingerprint of their content. One
- * crash makes a fingerprint suspect, a second one, of whatever endpoint, has it
- * quarantined on every entry. Kept in memory everywhere, told by crash reports
- * between controllers, and in the table as long as that can be written, so that
- * it outlives a restart of all. Entries expire; their number is bounded.
+ * Requests that crash endpoints, identified by the fingerprint of their
+ * content. One crash makes a fingerprint suspect; a second one, of any
+ * endpoint, quarantines it on every entry. Each controller keeps the list in
+ * memory and shares it with the others by crash reports. It is also written to
+ * the table while that is available, so that it survives a restart of all
+ * controllers. Entries of the list expire, and their number is bounded.
  *
  * Rows: "suspect/HEX16".
  */
@@ -14,16 +15,16 @@
 
 typedef struct CoSuspects CoSuspects;
 
-/** Entries that have become worse; `update` is valid during the call. */
+/** Called with entries whose crash count has risen; `update` is valid during the call. */
 typedef void (*CoSuspectFunc) (const Alderturn__SuspectUpdate *update, gpointer data);
 
 typedef struct
 {
   KnlKernel *kernel;
   TbTable *platform;
-  KnlTime ttl;           /**< of an entry, from the last crash that it was told of */
-  KnlTime scan_interval; /**< between reads of the rows */
-  guint limit;           /**< entries at most; the one expiring first goes */
+  KnlTime ttl;           /**< lifetime of an entry, counted from the last crash learned */
+  KnlTime scan_interval; /**< between two scans of the rows */
+  guint limit; /**< maximum number of entries; those with the fewest crashes are evicted */
   CoSuspectFunc changed;
   gpointer data;
 } CoSuspectOptions;
@@ -31,14 +32,18 @@
 CoSuspects *co_suspects_new (const CoSuspectOptions *options);
 void co_suspects_free (CoSuspects *suspects);
 
-/** An endpoint crashed. `own`: this process is the one to write it to the table. FALSE: no news. */
+/**
+ * Handles the report of an endpoint's crash. With `own` set, this process is
+ * responsible for writing it to the table. Returns FALSE if the crash was known
+ * already.
+ */
 gboolean
 co_suspects_crash (CoSuspects *suspects, const Alderturn__CrashReport *report, gboolean own);
 
-/** What another controller knows. */
+/** Applies the entries received from another controller. */
 void co_suspects_hear (CoSuspects *suspects, const Alderturn__SuspectUpdate *update);
 
-/** All entries; free with alderturn__suspect_update__free_unpacked. */
+/** Returns all entries; free with alderturn__suspect_update__free_unpacked(). */
 Alderturn__SuspectUpdate *co_suspects_all (CoSuspects *suspects);
 
 guint co_suspects_count (const CoSuspects *suspects);
--- a/tests/unit/co_lease_test.c
+++ b/tests/unit/co_lease_test.c
@@ -1,4 +1,4 @@
-/** Leases: one holder at a time whatever is paused, lost or down. */
+/** Leases: at most one holder at any time, with paused processes, lost answers and outages. */
 
 #include "coord/lease.h"
 #include "coord/shard.h"
@@ -14,8 +14,8 @@
 {
   Daemons daemons;
   CoLeases *leases[HOLDERS];
-  guint64 fences[SHARDS]; /* highest seen valid */
-  guint holders[SHARDS];  /* last valid holder */
+  guint64 fences[SHARDS]; /* highest one seen valid */
+  guint holders[SHARDS];  /* index of the last valid holder */
   guint changes;
 } Fixture;
 
@@ -59,7 +59,10 @@
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (Fixture, fixture_free)
 
-/* Asked at any moment, also of a paused process: at most one holds, and fences only rise. */
+/*
+ * At any time, also with paused processes: each shard has at most one holder,
+ * and fencing numbers only rise. Returns the number of shards held.
+ */
 static guint
 check (Fixture *fixture)
 {
@@ -78,7 +81,7 @@
           holders++;
           if (fence < fixture->fences[s]
               || (fence == fixture->fences[s] && fixture->holders[s] != i))
-            CU_FAIL ("a fencing number that another had before");
+            CU_FAIL ("fencing number was used by another holder before");
           fixture->changes += fence > fixture->fences[s] ? 1 : 0;
           fixture->fences[s] = fence;
           fixture->holders[s] = i;
@@ -122,10 +125,10 @@
 }
 
 /*
- * Symptom: two processes act for one shard.
- * Sequence: a holder's process is stopped for longer than its lease, another
- * takes over, the first goes on and is asked before any of its timers ran.
- * Cause: a holder that trusts what it knew when it was stopped.
+ * Guards against two processes acting for one shard: a holder's process is
+ * paused for longer than its lease and another acquires it. The first one
+ * resumes and must not use its old state, even before any of its timers has
+ * run.
  */
 static void
 test_a_paused_holder_is_none (void)
@@ -145,9 +148,9 @@
 }
 
 /*
- * Symptom: nobody holds a shard, or a holder counts a lease that it never got.
- * Sequence: the table carries out a take-over or renewal and its answer is lost.
- * Cause: the writer takes it for done, or for not done, without reading back.
+ * Guards against a shard without a holder, or a holder that counts a lease it
+ * doesn't have: the table carries out an acquisition or renewal and its answer
+ * is lost. The writer must read the rows again instead of assuming an outcome.
  */
 static void
 test_lost_answers_are_read_back (void)
@@ -187,9 +190,10 @@
 }
 
 /*
- * Symptom: shards stay without a holder after the store was down, or keep one while it is.
- * Sequence: the table refuses all calls for 10 minutes.
- * Cause: a holder that goes on without being able to renew; a lapsed one that waits for itself.
+ * Guards against shards that keep a holder during an outage of the store, or
+ * have none after it. The table refuses all calls for 10 minutes: a holder must
+ * not continue when it can't renew, nor wait for its own expired lease
+ * afterwards.
  */
 static void
 test_an_outage_ends_all_leases_and_they_return (void)
@@ -234,12 +238,15 @@
       run (fixture, 60 * KNL_SEC);
       writes[round] = sd_table_writes (fk_store_table (fixture->daemons.store)) - writes[round];
     }
-  /* One transaction a holder each 2 s: bounded by the number of shards. */
+  /* Each holder sends one transaction every 2 s; at most one holder per shard. */
   CU_ASSERT_TRUE (writes[0] >= 28 && writes[0] <= 31);
   CU_ASSERT_TRUE (writes[1] <= 3 * writes[0]);
 }
 
-/* Half an hour of kernel time for each seed: pauses, outages, lost answers, deaf and cut-off ones.
+/*
+ * Half an hour of simulated time for each seed, with paused processes,
+ * platforms that are unreachable, silent or deaf, and a table with outages,
+ * lost and slow answers.
  */
 static void
 test_random_faults (void)
@@ -297,11 +304,11 @@
 }
 
 /*
- * Symptom: a controller's table of workspaces is changed while it is walked over; GLib
- * reports a broken iterator, seen first in the soak's seed 1.
- * Sequence: a paused holder goes on; told that one shard has lapsed it walks over
- * what it keeps and asks for each thing's shard; those have lapsed too.
- * Cause: the question itself told the observers, inside their own walk.
+ * Guards against a controller's table of workspaces being modified during
+ * iteration, which GLib reports as an invalid iterator. A paused holder
+ * resumes; when notified that one lease has expired, it iterates over its table
+ * and calls co_lease_valid() for each item's shard, whose leases have expired
+ * too. That call must not notify the observers itself.
  */
 static void
 test_a_question_tells_nobody (void)
@@ -323,13 +330,13 @@
 }
 
 static const SuiteCase cases[] = {
-  { "a question tells nobody", test_a_question_tells_nobody },
+  { "checking a lease notifies no observers", test_a_question_tells_nobody },
   { "shards go to their first candidates", test_shards_go_to_their_first_candidates },
-  { "a paused holder is none", test_a_paused_holder_is_none },
+  { "a paused holder does not hold a lease", test_a_paused_holder_is_none },
   { "lost answers are read back", test_lost_answers_are_read_back },
   { "released shards are taken at once", test_released_shards_are_taken_at_once },
   { "an outage ends all leases and they return", test_an_outage_ends_all_leases_and_they_return },
-  { "a restarted process waits for its former self",
+  { "a restarted process waits for its predecessor's lease",
     test_a_restarted_process_does_not_take_its_former_self_for_itself },
   { "writes do not grow with holders", test_writes_do_not_grow_with_holders },
   { "random faults", test_random_faults },
--- a/tests/unit/co_suspect_test.c
+++ b/tests/unit/co_suspect_test.c
@@ -1,4 +1,4 @@
-/** Crash fingerprints and shares: what several controllers or entries make of them together. */
+/** Crash fingerprints shared by several controllers, and shares of several entries. */
 
 #include "coord/share.h"
 #include "coord/suspect.h"
@@ -72,7 +72,7 @@
   co_suspects_crash (fixture->suspects[i], &report, TRUE);
 }
 
-/* Crashes of a fingerprint as controller `i` knows them; 0: it is no suspect. */
+/* Number of a fingerprint's crashes known to controller `i`; 0: not a suspect. */
 static guint
 crashes_at (Fixture *fixture, guint i, guint64 fingerprint)
 {
@@ -90,10 +90,10 @@
 }
 
 /*
- * Symptom: one request takes down engine after engine.
- * Sequence: it crashes an engine at one entry, is sent again, and crashes the
- * next at another entry, whose controller had not heard of the first.
- * Cause: each counts only the crashes that it saw itself.
+ * Guards against one request crashing one engine after another: it crashes an
+ * engine through one entry, is sent again and crashes the next through another
+ * entry, whose controller doesn't know of the first crash. Controllers must not
+ * count only the crashes reported to themselves.
  */
 static void
 test_crashes_are_counted_together_through_the_table (void)
@@ -114,7 +114,7 @@
         CU_ASSERT_EQUAL (crashes_at (fixture, i, 7), rows[r].crashes);
     }
   CU_ASSERT_EQUAL (fixture->told[0], 2);
-  /* It outlives a restart, and then expires everywhere, with its row. */
+  /* The entry survives a restart, then expires on all controllers and in the table. */
   co_suspects_free (fixture->suspects[0]);
   start (fixture, 0);
   knl_paused_clock_advance (fixture->daemons.clock, KNL_SEC);
--- a/tests/unit/member_test.c
+++ b/tests/unit/member_test.c
@@ -1,5 +1,7 @@
-/** Membership among many controllers on one paused clock, with frames packed and delayed between
- * them. */
+/**
+ * Membership among many controllers on one simulated clock; their frames are
+ * packed and delayed.
+ */
 
 #include "../fakes/member_cluster.h"
 #include "suite.h"
@@ -26,9 +28,9 @@
 }
 
 /*
- * Symptom: work is sent to an instance that is gone, or a healthy one is given up.
- * Sequence: one controller of nine is killed.
- * Cause reproduced here: it answers no probe; the others do.
+ * Guards against work being sent to a failed instance, or a healthy one being
+ * declared dead: one controller of nine is killed and answers no probes, while
+ * the others do.
  */
 static void
 test_a_killed_controller_is_dead_to_all_and_no_other_is (void)
@@ -46,9 +48,9 @@
 }
 
 /*
- * Symptom: a controller that was replaced stays dead to the others for ever.
- * Sequence: it is killed; its successor of the same name has a clock that is behind.
- * Cause reproduced here: the successor starts with a lower incarnation.
+ * Guards against a replaced controller staying dead to the others indefinitely:
+ * it is killed, and its successor of the same name has a clock that is behind,
+ * so that it starts with a lower incarnation.
  */
 static void
 test_a_successor_with_an_older_clock_is_taken (void)
@@ -64,10 +66,9 @@
 }
 
 /*
- * Symptom: two members that can't reach each other call each other dead,
- * and the rest believes them in turn.
- * Sequence: one path of the network breaks; all others work.
- * Cause reproduced here: nothing passes between two of five.
+ * Guards against two members that can't reach each other declaring each other
+ * dead, and the other members accepting that: nothing passes between two of
+ * five controllers, while all other network paths work.
  */
 static void
 test_one_broken_path_kills_nobody (void)
@@ -84,7 +85,7 @@
     }
 }
 
-/** Advances until `node` has begun another probe, before its answer is there. */
+/** Advances until `node` has sent its next probe; the ack has not arrived yet. */
 static void
 advance_to_probe (FkCluster *cluster, FkNode *node)
 {
@@ -95,10 +96,10 @@
 }
 
 /*
- * Symptom: a controller that was stopped for a minute calls others dead on waking.
- * Sequence: it is stopped with a probe open and goes on; its timers are due and
- * the answer has been lost or is not read yet.
- * Cause reproduced here: its kernel is frozen; the others find it dead meanwhile.
+ * Guards against a controller declaring others dead when it resumes after being
+ * stopped for a minute with an open probe: its timers are due, but the ack was
+ * lost or isn't read yet. Its kernel is frozen here, and the others declare it
+ * dead meanwhile.
  */
 static void
 test_a_stopped_controller_comes_back_and_blames_nobody (void)
@@ -123,9 +124,10 @@
 }
 
 /*
- * Symptom: on waking a controller calls one dead that has long refuted the suspicion.
- * Sequence: it suspects another, is stopped itself, and misses the refutation.
- * Cause reproduced here: both are stopped in turn; the suspicion's time is over on waking.
+ * Guards against a resumed controller declaring another dead that has already
+ * refuted the suspicion: it suspects the other, is stopped itself and misses
+ * the refutation. Both are stopped in turn here, and the suspicion's deadline
+ * has passed when the first one resumes.
  */
 static void
 test_a_suspicion_waits_for_one_who_could_not_hear (void)
@@ -146,10 +148,10 @@
 }
 
 /*
- * Symptom: after a region was cut off the two halves never join again.
- * Sequence: cut for an hour; both sides call the other dead; the network heals.
- * Cause reproduced here: nothing passes between the halves; meanwhile one
- * learns that an engine leaves, which the other must learn in the end too.
+ * Guards against two regions not joining again after a network partition: for
+ * an hour nothing passes between them and each declares the other dead, then
+ * the network recovers. During the partition one region learns that an engine
+ * is leaving; the other must learn it afterwards.
  */
 static void
 test_a_region_cut_for_an_hour_heals_by_itself (void)
@@ -178,9 +180,9 @@
 }
 
 /*
- * Symptom: a leaving engine gets new work for long, since some have not heard of it.
- * Sequence: one controller learns that it leaves; news wait for the next probes.
- * Cause reproduced here: 50 controllers, one of them marks the engine.
+ * Guards against a leaving engine receiving new work for a long time because
+ * some controllers don't know that it is leaving: one of 50 controllers marks
+ * it, and updates must not wait for the next probes.
  */
 static void
 test_leaving_is_known_to_all_within_two_seconds (void)
@@ -203,7 +205,7 @@
   agree (cluster, CONTROLLER, "c3", DEAD, 30 * KNL_SEC);
 }
 
-/** Frames and bytes that one of `count` members sends in a second when nothing happens. */
+/** Frames and bytes per second that each of `count` members sends when nothing changes. */
 static void
 measure_cost (guint count, double *frames, double *bytes)
 {
@@ -240,13 +242,13 @@
 
   co_members_vouch (cluster->nodes[1].members, &entry, FALSE);
   agree (cluster, ENTRY, "c1", LIVE, 10 * KNL_SEC);
-  /* Its controller is killed; it links to another in time. */
+  /* Its controller is killed; it links to another one before its deadline. */
   fk_node_stop (&cluster->nodes[1]);
   co_members_vouch (cluster->nodes[2].members, &entry, FALSE);
   agree (cluster, CONTROLLER, "c1", DEAD, 30 * KNL_SEC);
   knl_paused_clock_advance (cluster->clock, 60 * KNL_SEC);
   agree (cluster, ENTRY, "c1", LIVE, 0);
-  /* Back at its own; the other's link closes only then. */
+  /* It links to its own controller again before the link to the other one closes. */
   fk_node_start (&cluster->nodes[1], 2000);
   knl_paused_clock_advance (cluster->clock, 10 * KNL_SEC);
   co_members_vouch (cluster->nodes[1].members, &entry, FALSE);
@@ -254,12 +256,12 @@
   co_members_unvouch (cluster->nodes[2].members, "c1");
   knl_paused_clock_advance (cluster->clock, 60 * KNL_SEC);
   agree (cluster, ENTRY, "c1", LIVE, 0);
-  /* Leaving, then gone. */
+  /* It is leaving, then its link closes. */
   co_members_vouch (cluster->nodes[1].members, &entry, TRUE);
   agree (cluster, ENTRY, "c1", LEAVING, 2 * KNL_SEC);
   co_members_unvouch (cluster->nodes[1].members, "c1");
   agree (cluster, ENTRY, "c1", DEAD, 30 * KNL_SEC);
-  /* A new process of the same name, then the whole instance is lost. */
+  /* A new process of the same name, then the instance with its controller fails. */
   entry.incarnation = 900;
   co_members_vouch (cluster->nodes[1].members, &entry, FALSE);
   agree (cluster, ENTRY, "c1", LIVE, 10 * KNL_SEC);
@@ -267,7 +269,7 @@
   agree (cluster, ENTRY, "c1", DEAD, 60 * KNL_SEC);
 }
 
-/* Endpoints: steps on one controller, with the state wanted after each. */
+/* Endpoints: steps on one controller, with the expected state after each. */
 
 typedef enum
 {
@@ -285,7 +287,7 @@
 typedef struct
 {
   StepKind step;
-  Alderturn__MemberState state; /* after it; 0: not known */
+  Alderturn__MemberState state; /* expected after the step; 0: member unknown */
 } Step;
 
 static const Step endpoint_steps[][7] = {
@@ -417,18 +419,19 @@
 static const SuiteCase cases[] = {
   { "a killed controller is dead to all, and no other is",
     test_a_killed_controller_is_dead_to_all_and_no_other_is },
-  { "a successor with an older clock is taken", test_a_successor_with_an_older_clock_is_taken },
-  { "one broken path kills nobody", test_one_broken_path_kills_nobody },
-  { "a stopped controller comes back and blames nobody",
+  { "a successor with an older clock is accepted", test_a_successor_with_an_older_clock_is_taken },
+  { "one broken path makes no member dead", test_one_broken_path_kills_nobody },
+  { "a stopped controller resumes and suspects no other",
     test_a_stopped_controller_comes_back_and_blames_nobody },
-  { "a suspicion waits for one who could not hear",
+  { "a suspicion is extended for a controller that was stopped",
     test_a_suspicion_waits_for_one_who_could_not_hear },
   { "a region cut for an hour heals by itself", test_a_region_cut_for_an_hour_heals_by_itself },
   { "leaving is known to all within two seconds", test_leaving_is_known_to_all_within_two_seconds },
   { "the cost of a member does not grow with their number",
     test_the_cost_of_a_member_does_not_grow_with_their_number },
-  { "an entry follows those who vouch for it", test_an_entry_follows_those_who_vouch_for_it },
-  { "endpoints follow the list and their own word",
+  { "an entry follows the controllers that vouch for it",
+    test_an_entry_follows_those_who_vouch_for_it },
+  { "endpoints follow the list and what they advertise",
     test_endpoints_follow_the_list_and_their_own_word },
   { "observers and full updates", test_observers_and_full_updates },
 };
--- a/tests/unit/overlay_test.c
+++ b/tests/unit/overlay_test.c
@@ -1,4 +1,4 @@
-/** The links that controllers keep: news reaches all, in few hops, over few links. */
+/** Links between controllers: updates reach all of them in few hops over few links. */
 
 #include "coord/overlay.h"
 #include "suite.h"
@@ -41,7 +41,10 @@
   return count;
 }
 
-/* Hops until all have heard what `from` knows; G_MAXUINT: some never do. `lost` is left out. */
+/*
+ * Hops until an update of `from` has reached all controllers except those in
+ * `lost`; G_MAXUINT: it never does.
+ */
 static guint
 hops_to_all (const Overlay *overlay, guint from, const gboolean *lost)
 {
@@ -73,10 +76,10 @@
 }
 
 /*
- * Symptom: a configuration change never reaches some controllers, or each controller's
- * links grow with the fleet.
- * Sequence: a change is pushed over the links that are kept, while a whole zone is gone.
- * Cause: links chosen so that parts of the fleet hang on one controller or zone.
+ * Guards against a configuration change that never reaches some controllers,
+ * and against links that grow in number with the fleet. A change is pushed over
+ * the links while a whole zone is down; no part of the fleet may depend on a
+ * single controller or zone.
  */
 static void
 test_news_reach_all_over_few_links (void)
@@ -116,7 +119,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "news reach all over few links", test_news_reach_all_over_few_links },
+  { "updates reach all over few links", test_news_reach_all_over_few_links },
 };
 
 SUITE_MAIN ("overlay", cases)
--- a/tests/unit/subset_test.c
+++ b/tests/unit/subset_test.c
@@ -1,4 +1,4 @@
-/** Subsets of engines: size, balance over engines, and what moves when members change. */
+/** Subsets of engines: size, balance over engines, and changes when members are added. */
 
 #include "coord/subset.h"
 #include "suite.h"
@@ -80,7 +80,7 @@
   spread->mean += (double)value / count;
 }
 
-/** Engines an entry has, and entries an engine has. */
+/** Measures the number of engines per entry and of entries per engine. */
 static void
 measure (const Fleet *fleet, Spread *by_entry, Spread *by_engine)
 {
@@ -107,9 +107,9 @@
 {
   guint entries;
   guint engines;
-  guint least_by_entry; /* engines that every entry has at least */
+  guint least_by_entry; /* minimum number of engines per entry */
   guint most_by_entry;
-  guint least_by_engine; /* entries that every engine has at least */
+  guint least_by_engine; /* minimum number of entries per engine */
 } SizeCase;
 
 static const SizeCase size_cases[] = {
@@ -140,7 +140,10 @@
   printf ("\n    ");
 }
 
-/** Pairs of entry and engine that one fleet has and the other, with one member more, has not. */
+/**
+ * Returns how many pairs of an entry and an engine of `small` are used in only
+ * one of the fleets. `pairs` is set to the number of pairs used in `small`.
+ */
 static guint
 count_moved (const Fleet *small, const Fleet *large, guint *pairs)
 {
@@ -189,8 +192,8 @@
 }
 
 /*
- * A zone without engines, one without entries, and an entry that the list does
- * not have yet: each entry still has enough engines, and each engine is used.
+ * With a zone without engines, one without entries, and an entry that isn't in
+ * the list yet, each entry still has enough engines and each engine is used.
  */
 static void
 test_lopsided_zones (void)
