--- a/coord/subset.c
+++ b/coord/subset.c
@@ -141,7 +141,10 @@
   return FALSE;
 }
 
-/** Counts all zones before any Place points into the array, so that it isn't reallocated later. */
+/**
+ * Counts all zones before any `Place` points into the array, so that it isn't
+ * reallocated later.
+ */
 static GArray *
 zones_new (const CoPlace *self,
            gboolean count_self,
--- a/include/coord/subset.h
+++ b/include/coord/subset.h
@@ -27,9 +27,10 @@
 } CoSubsetPart;
 
 /**
- * Sets `parts[i]` for each of `engines`. `entries` are all live entries; `self`
- * is counted even if it isn't among them. `size` is the number of engines to
- * choose, approximately. The order of the lists does not matter.
+ * Sets `parts`, an array with one element for each of `engines`. `entries` are
+ * all live entries; `self` is counted even if it isn't among them. `size` is
+ * the number of engines to choose, approximately. The order of the lists does
+ * not matter.
  */
 void co_subset_choose (const CoPlace *self,
                        const CoPlace *entries,
