--- a/coord/suspect.c
+++ b/coord/suspect.c
@@ -24,8 +24,7 @@
   KnlTime expires;
   guint64 version; /* of the row as last seen; 0: no row */
   gboolean dirty;  /* the row must be written or deleted */
-  guint64 seen;    /* number of the scan that last found the row, or that was current when it was
-                      written */
+  guint64 seen;    /* scan that last found the row, or the current one when it was written */
 } Suspect;
 
 struct CoSuspects
