--- a/coord/apply.c
+++ b/coord/apply.c
@@ -10,11 +10,11 @@
 #define OBJECT_BYTES_LIMIT  65536
 #define CONFIG_OBJECT_LIMIT 10000
 
-/* An object as the changes leave it; fields NULL: removed. */
+/* An object after the changes; fields NULL: removed. */
 typedef struct
 {
   json_t *fields;
-  guint line; /* the last change that touched it */
+  guint line; /* index of the last change to it */
 } Overlaid;
 
 typedef struct
@@ -22,7 +22,7 @@
   const CoConfig *config;
   CmFindings *findings;
   CoApplyPlan *plan;
-  GHashTable *overlay; /* "KIND/NAME" -> Overlaid */
+  GHashTable *overlay; /* "KIND/NAME" -> `Overlaid` */
   guint n_objects;
 } Planner;
 
@@ -146,8 +146,7 @@
     }
 }
 
-/* The change to blame for a reference that leads nowhere: the referring object's, or the removal.
- */
+/* Index of the last change to an object, for findings; 0: the list doesn't change it. */
 static guint
 line_of (const Planner *planner, const char *kind, const char *name)
 {
@@ -171,6 +170,7 @@
 
   if (target == NULL || current_fields (planner, field->refers_to, target) != NULL)
     return;
+  /* An unchanged object refers to nothing: the change that removed its target is at fault. */
   if (line == 0)
     line = line_of (planner, field->refers_to, target);
   where = g_strdup_printf ("%s %s.%s", kind, name, field->name);
--- a/coord/config.c
+++ b/coord/config.c
@@ -5,13 +5,13 @@
 #include "common/log.h"
 #include "coord/schema.h"
 
-/* Changes kept to answer a replica that is a little behind; beyond it gets a snapshot. */
+/* Changes retained for replicas that are slightly behind; others get a snapshot. */
 #define HISTORY_LIMIT 1024
 
 typedef struct
 {
   CoObject base;
-  json_t *defaults; /* of the kind's fields, so that strings read from them live as long as this */
+  json_t *defaults; /* of the kind's fields; owns default strings returned to callers */
 } Object;
 
 typedef struct
@@ -25,7 +25,7 @@
   guint64 revision;
   GTree *objects;       /* "KIND/NAME" -> Object */
   GQueue history;       /* Alderturn__ConfigChange, oldest first */
-  guint64 history_from; /* the history has every change after this revision */
+  guint64 history_from; /* the history is complete after this revision */
   GArray *observers;
 };
 
@@ -97,7 +97,7 @@
   return &config->revision;
 }
 
-/* protobuf-c frees strings with free(), hence no g_strdup() here; both are malloc() beneath. */
+/* Takes ownership of `fields`. protobuf-c frees with free(): g_strdup() uses malloc() as well. */
 static Alderturn__ConfigChange *
 change_new (guint64 revision, const char *kind, const char *name, char *fields, gboolean removed)
 {
@@ -181,8 +181,8 @@
 {
   guint64 before = config->revision;
 
-  /* A push that was delayed on its way, or comes from a peer that is behind, would
-     bring back older objects; the revisions in force would be seen to fall. */
+  /* A push that was delayed in transit, or that a peer which is behind has sent, would
+     restore older objects, and the revision in force would go down. */
   if (push->revision <= before)
     return TRUE;
   if (push->from_revision > before)
--- a/coord/config_apply.c
+++ b/coord/config_apply.c
@@ -24,11 +24,11 @@
   KnlTimerId deadline;
   CmBackoff backoff;
   gboolean waits_for_pull;
-  guint64 revision;         /* of the table, as last read */
-  guint64 revision_version; /* version of the row that it stands in */
-  gboolean sent;            /* a transaction is under way */
-  gboolean open;            /* a transaction without an answer may still take effect, */
-  guint64 open_version;     /* while the row has this version */
+  guint64 revision;         /* the table's, as last read */
+  guint64 revision_version; /* version of its row */
+  gboolean sent;            /* a transaction is in flight */
+  gboolean open;            /* a transaction without an answer may still take effect */
+  guint64 open_version;     /* only while the revision's row has this version */
   CoApplyPlan *plan;
   CmFindings findings;
 };
@@ -127,7 +127,7 @@
   json_decref (row);
 }
 
-/* Who changed it stands in the object's row. */
+/* Reads the object's row, which names the operation and the operator that changed it. */
 static void
 look_up_conflict (CoConfigApply *apply)
 {
@@ -137,7 +137,7 @@
   g_free (key);
 }
 
-/* The replica takes the change from here, not from its own next read of the table. */
+/* Applies the accepted changes to the local replica without waiting for its next poll. */
 static void
 apply_to_replica (CoConfigApply *apply)
 {
@@ -181,9 +181,10 @@
       return;
     }
   /*
-   * Without an answer the write may have taken effect or may still do so. Taken
-   * for a failure, the operator would be told that nothing happened and apply
-   * again. begin() reads back; the same check sees to it that it counts once.
+   * Without an answer the write may have taken effect, or may still do so. Treated
+   * as a failure, the operator would be told that nothing happened, and would apply
+   * again. begin() reads the operation's row back; the checks on that row and on the
+   * revision ensure that the operation takes effect once only.
    */
   if (status == TB_UNKNOWN)
     {
@@ -228,7 +229,7 @@
   return rows;
 }
 
-/* A list that changes an object twice names its row twice: only the last counts. */
+/* A list that changes an object twice has two values for its row: only the last is written. */
 static gboolean
 written_later (const Rows *rows, guint index)
 {
@@ -301,8 +302,8 @@
     try_again (apply);
   else if (row == NULL)
     {
-      /* The revision was read before this: a write that checked an older one can't come any more.
-       */
+      /* The revision was read before this row: a write that checked an older version of
+         the revision's row can no longer take effect. */
       if (apply->open_version != apply->revision_version)
         apply->open = FALSE;
       evaluate (apply);
--- a/coord/config_compact.c
+++ b/coord/config_compact.c
@@ -8,7 +8,8 @@
 
 #define DUTY "config/history"
 
-/* More than one operation can have changes, so that a page always ends some operation. */
+/* Larger than the maximum number of changes per operation, so that a page always contains the end
+   of an operation. */
 #define PAGE_ROWS 600
 
 struct CoConfigCompact
@@ -17,8 +18,8 @@
   guint shard;
   KnlTimerId timer;
   TbCallId call;
-  guint64 revision_version; /* of the revision's row, at our replica's revision */
-  GPtrArray *doomed;        /* keys */
+  guint64 revision_version; /* of the revision's row, read at the replica's revision */
+  GPtrArray *doomed;        /* keys of the rows to delete */
 };
 
 static void look (gpointer data);
@@ -68,7 +69,7 @@
   return same;
 }
 
-/* How many rows can go: old ones, and of each operation all or none. */
+/* Number of rows to delete: those beyond `keep`, and of each operation all rows or none. */
 static guint
 count_doomed (const CoConfigCompact *compact, const TbRow *rows, guint n_rows, gboolean more)
 {
@@ -93,7 +94,7 @@
   guint last = compact->doomed->len;
 
   g_ptr_array_add (compact->doomed, g_strdup (row->key));
-  /* The mark of a removed object, unless it has been made anew since. */
+  /* The tombstone of a removed object, unless the object has been created again. */
   if (change->removed
       && co_config_find (compact->options.replica, change->kind, change->name) == NULL)
     g_ptr_array_add (compact->doomed, co_object_key (change->kind, change->name));
@@ -110,7 +111,7 @@
   ((CoConfigCompact *)data)->call = 0;
 }
 
-/* The check of the revision's row sees to it that our replica is the table's state. */
+/* The check of the revision's row ensures that the replica equals the table's state. */
 static void
 delete_doomed (CoConfigCompact *compact)
 {
--- a/coord/config_pull.c
+++ b/coord/config_pull.c
@@ -4,7 +4,7 @@
 
 #define PAGE_ROWS 200
 
-/* A snapshot is read again when the configuration changed meanwhile, so often at most. */
+/* Maximum reads of a snapshot, which is read again if the configuration changed meanwhile. */
 #define SNAPSHOT_TRIES 5
 
 struct CoConfigPull
@@ -15,8 +15,8 @@
   gpointer data;
   TbCallId call;
   char *after;        /* key of the last row read */
-  GPtrArray *changes; /* Alderturn__ConfigChange, of the snapshot so far */
-  guint64 revision;   /* that the snapshot began at */
+  GPtrArray *changes; /* Alderturn__ConfigChange, read but not applied yet */
+  guint64 revision;   /* at the start of the snapshot */
   guint tries;
 };
 
@@ -90,7 +90,7 @@
   guint64 now = n_rows > 0 ? co_row_revision (rows[0].value) : 0;
 
   pull->call = 0;
-  /* Objects read while the revision moved may be of different revisions: read them again. */
+  /* Objects read while the revision changed may belong to different revisions: read them again. */
   if (status == TB_OK && now != pull->revision && ++pull->tries < SNAPSHOT_TRIES)
     {
       read_snapshot_start (pull);
@@ -168,7 +168,7 @@
   guint64 last = have;
 
   pull->call = 0;
-  /* A peer's push may have come first: rows up to what we have are skipped. */
+  /* A peer's push may have been applied meanwhile: skip rows up to the replica's revision. */
   for (guint i = 0; i < n_rows; i++)
     {
       Alderturn__ConfigChange *change = co_row_to_change (&rows[i]);
@@ -181,7 +181,7 @@
       last++;
       g_ptr_array_add (pull->changes, change);
     }
-  /* Rows that we would need next have been compacted. */
+  /* The rows that the replica needs next have been compacted. */
   if (status == TB_OK && last == have)
     {
       read_snapshot_start (pull);
--- a/coord/config_rows.c
+++ b/coord/config_rows.c
@@ -86,7 +86,7 @@
   return revision;
 }
 
-/* An object row has its kind and name in the key only. */
+/* An object row has its kind and name in its key only. */
 static void
 name_from_key (const char *key, Alderturn__ConfigChange *change)
 {
--- a/coord/config_store.c
+++ b/coord/config_store.c
@@ -27,9 +27,9 @@
   guint64 have = *co_config_revision (store->options.replica);
 
   /*
-   * A node that started behind would serve an older configuration than one
-   * that others have in force already: a workspace seen to lose its rights and
-   * get them back. So it serves only from the highest revision it has heard of.
+   * An instance that started behind would serve an older configuration than the one
+   * in force elsewhere: a workspace's new rights would come and go with the instance
+   * that it reaches. So an instance isn't ready below the highest known revision.
    */
   if (!store->ready && store->compared && have >= store->highest)
     {
--- a/include/coord/config.h
+++ b/include/coord/config.h
@@ -1,12 +1,12 @@
 #pragma once
 
 /**
- * A replica of the declared configuration, as every daemon keeps it.
+ * The replica of the declared configuration that every daemon keeps.
  *
  * Objects are declared by operators and have a kind, a name and fields
- * (coord/schema.h). Each accepted change has a revision of its own, one higher
- * than the last. A replica's revision only rises: a change or snapshot that is
- * older than what the replica has is dropped, whoever sends it and however late.
+ * (coord/schema.h). Each accepted change has its own revision, one higher than
+ * that of the change before it. A replica's revision only rises: a change or
+ * snapshot older than the replica is dropped.
  */
 
 #include <glib.h>
@@ -21,7 +21,7 @@
   char *kind; /**< "model", "adapter", "service", "workspace", "instance" */
   char *name;
   json_t *fields;
-  guint64 revision; /**< of the change that made it so */
+  guint64 revision; /**< of the last change to the object */
 } CoObject;
 
 /** Called after the replica has changed, with the revision it had before. */
@@ -31,35 +31,36 @@
 void co_config_free (CoConfig *config);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (CoConfig, co_config_free)
 
-/** The revision in force here; 0 before the first. The pointer stays valid for the replica's life.
- */
+/** The replica's revision; 0 while it has none. The pointer is valid for the replica's lifetime. */
 const guint64 *co_config_revision (const CoConfig *config);
 
 /**
- * Applies a push. A gap (from_revision above ours) or an older revision leaves
- * the replica as it is. TRUE when the replica is now at push->revision or later.
+ * Applies a push. A push that starts after the replica's revision (a gap), or that
+ * doesn't go beyond it, is ignored. Returns TRUE when the replica is now at
+ * push->revision or later.
  */
 gboolean co_config_apply (CoConfig *config, const Alderturn__ConfigPush *push);
 
 /**
- * Builds the push that brings a replica at `have` to ours: a snapshot when that
- * is 0 or older than the history kept. Free with alderturn__config_push__free_unpacked.
+ * Builds the push that brings a replica from revision `have` to this one's: a snapshot
+ * when `have` is 0 or older than the retained history. Free with
+ * alderturn__config_push__free_unpacked().
  */
 Alderturn__ConfigPush *co_config_push_since (const CoConfig *config, guint64 have);
 
-/** The object, or NULL; owned by the replica, valid until the next apply. */
+/** Returns the object, or NULL; owned by the replica, valid until the next apply. */
 const CoObject *co_config_find (const CoConfig *config, const char *kind, const char *name);
 
-/** Calls `func` for each object of `kind` (NULL: of every kind) in order of name. */
+/** Calls `func` for each object of `kind` (NULL: of every kind), ordered by kind and name. */
 void co_config_foreach (const CoConfig *config,
                         const char *kind,
                         void (*func) (const CoObject *object, gpointer data),
                         gpointer data);
 
-/** Adds an observer; it lives as long as the replica. */
+/** Adds an observer; it can't be removed and must stay valid as long as the replica. */
 void co_config_observe (CoConfig *config, CoConfigFunc func, gpointer data);
 
-/** Typed reads of a field, with the schema's default where it is not set. */
+/** Typed access to a field; a field that isn't set has the schema's default. */
 const char *co_object_string (const CoObject *object, const char *field);
 gint64 co_object_integer (const CoObject *object, const char *field);
 double co_object_double (const CoObject *object, const char *field);
--- a/include/coord/config_apply.h
+++ b/include/coord/config_apply.h
@@ -1,33 +1,33 @@
 #pragma once
 
-/** One apply of an operator's changes, from the first read to the answer. */
+/** One apply of an operator's changes, from the first read of the table to the result. */
 
 #include "coord/config_store.h"
 
 typedef struct CoConfigApply CoConfigApply;
 
-/** What an apply needs of its store. */
+/** The store on whose behalf an apply runs. */
 typedef struct
 {
   KnlKernel *kernel;
   TbTable *platform;
   CoConfig *replica;
   KnlTime limit;
-  /** The table is ahead of the replica: co_config_apply_resume() is wanted after a pull. */
+  /** Called when the table is ahead of the replica; co_config_apply_resume() must follow a pull. */
   void (*want_pull) (gpointer store, guint64 revision);
-  /** The apply has ended and is freed after the call. */
+  /** Called when the apply has ended; it is freed after the call. */
   void (*ended) (gpointer store, CoConfigApply *apply);
   gpointer store;
 } CoConfigApplyHost;
 
-/** `host` must outlive it. */
+/** Starts an apply. `host` must outlive it; `what` is copied. */
 CoConfigApply *co_config_apply_new (const CoConfigApplyHost *host,
                                     const CoApply *what,
                                     CoApplyFunc done,
                                     gpointer data);
 
-/** A pull has ended. */
+/** Continues an apply that waits for a pull, after the pull has ended. */
 void co_config_apply_resume (CoConfigApply *apply);
 
-/** Ends it now, with the outcome that can be told. */
+/** Ends the apply now: UNKNOWN when a write may have taken effect, else NOT_RUN. */
 void co_config_apply_abandon (CoConfigApply *apply);
--- a/include/coord/config_compact.h
+++ b/include/coord/config_compact.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * Bounds the history of the configuration in the table: the holder of one
- * shard deletes change rows beyond the number kept, with the rows of their
- * operations and the marks of objects that they removed. A replica further
- * behind than the history takes a snapshot. An operation sent again after that
- * counts as a new one.
+ * Bounds the configuration history in the table: the holder of one shard deletes
+ * the oldest change rows beyond `keep`, together with the rows of their operations
+ * and the tombstones of the objects they removed. A replica further behind than the
+ * history reads a snapshot. An operation that is sent again after its row was
+ * deleted counts as a new one.
  */
 
 #include "coord/config.h"
@@ -19,8 +19,8 @@
   TbTable *platform;
   CoLeases *leases;
   const CoConfig *replica;
-  guint keep;       /**< changes */
-  KnlTime interval; /**< between two looks */
+  guint keep;       /**< number of changes to retain */
+  KnlTime interval; /**< between two checks */
 } CoConfigCompactOptions;
 
 CoConfigCompact *co_config_compact_new (const CoConfigCompactOptions *options);
--- a/include/coord/config_rows.h
+++ b/include/coord/config_rows.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** The rows of the declared configuration in the table, and their JSON. */
+/** Keys and JSON values of the declared configuration's rows in the table. */
 
 #include "coord/apply.h"
 #include "table/table.h"
@@ -27,11 +27,11 @@
                        const char *operation,
                        const char *by);
 
-/** The "revision" in any of these values; 0 when there is none. */
+/** The "revision" member of any of these values; 0 when there is none. */
 guint64 co_row_revision (const char *value);
 
-/** The change that a change row or an object row tells of; free as protobuf-c does. */
+/** Decodes a change row or an object row. Free with alderturn__config_change__free_unpacked(). */
 Alderturn__ConfigChange *co_row_to_change (const TbRow *row);
 
-/** Names the changes of an operation, so that another use of its id is noticed. */
+/** Digest of an operation's changes, to detect reuse of its id. Free with g_free. */
 char *co_changes_digest (const json_t *changes);
--- a/include/coord/config_store.h
+++ b/include/coord/config_store.h
@@ -1,17 +1,17 @@
 #pragma once
 
 /**
- * The declared configuration in the platform's table: applying changes, and
- * following what others have applied.
+ * The declared configuration in the platform's table: applies changes, and follows
+ * the changes that others have applied.
  *
  * An apply is one conditional transaction: it checks the row of the global
  * revision, so that accepted changes have one order, and writes the objects,
- * a row for each change, and a row for the operation. That last row tells what
- * became of an apply whose answer was lost.
+ * a row for each change, and a row for the operation. The operation's row shows
+ * whether an apply took effect when its answer was lost.
  *
  * Rows: "config/revision", "config/object/KIND/NAME", "config/change/%020llu",
- * "config/operation/ID". A removed object's row stays, marked, until its change
- * is compacted.
+ * "config/operation/ID". A removed object's row stays as a tombstone until its
+ * change is compacted.
  */
 
 #include <jansson.h>
@@ -25,21 +25,21 @@
 typedef enum
 {
   CO_APPLY_DONE,
-  CO_APPLY_CONFLICT, /**< an expected revision was not found */
-  CO_APPLY_FINDINGS, /**< the changes are wrong */
-  CO_APPLY_NOT_RUN,  /**< the table could not be reached; surely without effect */
-  CO_APPLY_UNKNOWN,  /**< a write's answer is lost and could not be read back in time */
+  CO_APPLY_CONFLICT, /**< an object isn't at its expected revision */
+  CO_APPLY_FINDINGS, /**< the changes are invalid */
+  CO_APPLY_NOT_RUN,  /**< the table couldn't be reached; nothing was changed */
+  CO_APPLY_UNKNOWN,  /**< a write's answer was lost, and its effect couldn't be read back in time */
 } CoApplyStatus;
 
-/** The object whose revision was not the expected one, and who changed it; strings may be NULL. */
+/** The object that isn't at its expected revision, and its last change; strings may be NULL. */
 typedef struct
 {
   const char *kind;
   const char *name;
   guint64 expected;
-  guint64 found; /**< 0: it is not there */
-  const char *operation;
-  const char *by;
+  guint64 found;         /**< 0: the object doesn't exist */
+  const char *operation; /**< that changed the object last */
+  const char *by;        /**< operator who sent it */
 } CoApplyConflict;
 
 /** Valid during the callback. */
@@ -53,7 +53,7 @@
 
 typedef void (*CoApplyFunc) (const CoApplyResult *result, gpointer data);
 
-/** What an operator asks for. `changes` is the JSON list that CONTROL.md describes. */
+/** An operator's request. `changes` is the JSON list described in CONTROL.md. */
 typedef struct
 {
   const char *operation;
@@ -67,10 +67,10 @@
   KnlKernel *kernel;
   TbTable *platform;
   CoConfig *replica;
-  KnlTime poll_interval;            /**< between reads of the revision by a reader of the zone */
-  KnlTime idle_interval;            /**< the same, by the others */
-  KnlTime apply_limit;              /**< longest time that an apply takes */
-  void (*on_ready) (gpointer data); /**< called once, when the replica has become ready; or NULL */
+  KnlTime poll_interval;            /**< between polls of the revision by a reader of the zone */
+  KnlTime idle_interval;            /**< between polls by other processes that are ready */
+  KnlTime apply_limit;              /**< an apply is abandoned after this time */
+  void (*on_ready) (gpointer data); /**< called once, when the replica becomes ready; or NULL */
   gpointer data;
 } CoConfigStoreOptions;
 
@@ -79,27 +79,27 @@
 /** Pending applies end without their callback. */
 void co_config_store_free (CoConfigStore *store);
 
-/** Ends by one callback, never inside the call. */
+/** Starts an apply. `done` is called exactly once, never inside this call. */
 void
 co_config_store_apply (CoConfigStore *store, const CoApply *apply, CoApplyFunc done, gpointer data);
 
-/** Whether this process is one of the few that read the revision often. */
+/** Sets whether this process is one of the few that poll the revision often. */
 void co_config_store_set_reader (CoConfigStore *store, gboolean reader);
 
-/** Tells of a revision that exists somewhere: the replica is not ready below it. */
+/** Reports a revision that exists elsewhere: the replica isn't ready below it. */
 void co_config_store_heard (CoConfigStore *store, guint64 revision);
 
-/** A peer that was itself ready has sent its configuration. */
+/** Reports that a peer which was itself ready has sent its configuration. */
 void co_config_store_synced_by_peer (CoConfigStore *store);
 
 /**
- * TRUE when the replica has been compared with the table or a ready peer and
- * is at the highest revision heard of. Once ready it stays so.
+ * TRUE when the replica has been compared with the table or with a ready peer, and
+ * is at the highest known revision. It stays TRUE from then on.
  */
 gboolean co_config_store_ready (const CoConfigStore *store);
 
-/** The highest revision heard of. */
+/** The highest known revision. */
 guint64 co_config_store_highest (const CoConfigStore *store);
 
-/** Reads the table's revision now rather than at the next poll. */
+/** Polls the table's revision now. */
 void co_config_store_poll (CoConfigStore *store);
--- a/include/coord/schema.h
+++ b/include/coord/schema.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /**
- * What operators can declare: the kinds of object, their fields, types, bounds
- * and defaults. alderturnctl checks with it so that findings carry line and
- * column; the controller checks again, since it alone is the authority.
+ * Schema of the declared configuration: the kinds of object, their fields, types,
+ * bounds and defaults. alderturnctl checks with it, so that findings have a line and
+ * a column; the controller checks again, as its check is the authoritative one.
  */
 
 #include <glib.h>
@@ -29,27 +29,27 @@
   double min;
   double max;
   const char *const *values; /**< allowed strings, NULL-terminated; NULL: any */
-  const char *refers_to;     /**< kind of object that the string or names must be; or NULL */
-  gboolean secret;           /**< shown as "***" */
+  const char *refers_to;     /**< kind of the objects that the value must name; or NULL */
+  gboolean secret;           /**< displayed as "***" */
   const char *help;
 } CoField;
 
 typedef struct
 {
   const char *name;
-  const CoField *fields; /**< ended by a field without a name */
+  const CoField *fields; /**< terminated by a field without a name */
   const char *help;
 } CoKind;
 
-/** All kinds, ended by one without a name. */
+/** All kinds, terminated by one without a name. */
 const CoKind *co_schema_kinds (void);
 const CoKind *co_schema_kind (const char *name);
 const CoField *co_kind_field (const CoKind *kind, const char *name);
 
 /**
- * Checks the fields of one object by its kind: unknown and missing fields,
- * types, bounds. References are not looked up here. Findings' `where` is
- * "KIND NAME.FIELD"; with `source`, `line` and `column` of the object.
+ * Checks the fields of one object against its kind: unknown and missing fields,
+ * types, bounds. References aren't resolved here. A finding's `where` is
+ * "KIND NAME.FIELD"; `source`, `line` and `column` are copied into it.
  */
 void co_schema_check (const CoKind *kind,
                       const char *name,
@@ -59,6 +59,5 @@
                       guint column,
                       CmFindings *findings);
 
-/** TRUE for names that objects may have: 1 to 63 of a-z, 0-9, "-", ".", starting with a letter or
- * digit. */
+/** TRUE for a valid object name: 1 to 63 of a-z, 0-9, "-", ".", starting with a letter or digit. */
 gboolean co_schema_name_valid (const char *name);
--- a/tests/unit/co_config_store_test.c
+++ b/tests/unit/co_config_store_test.c
@@ -1,4 +1,4 @@
-/** Configuration in the table: one order of changes, lost answers, races, readiness. */
+/** Configuration in the table: order of changes, lost answers, racing applies, readiness. */
 
 #include "coord/config_store.h"
 #include "daemons.h"
@@ -120,9 +120,9 @@
 }
 
 /*
- * Symptom: an operator's change is silently undone by another's.
- * Sequence: two apply at the same moment through two controllers, both from revision 1.
- * Cause: writes without a check of what they were made from.
+ * Guards against one operator's change being silently overwritten by another's. Two
+ * operators apply at the same time through two controllers, both based on revision 1;
+ * a write that doesn't check the revision it is based on would undo the other.
  */
 static void
 test_of_racing_operators_one_wins_and_the_other_learns_of_it (void)
@@ -131,7 +131,7 @@
   {
     const char *expect;
     CoApplyStatus second;
-    guint64 revision; /* in the end */
+    guint64 revision; /* at the end */
   } rows[] = {
     { ",\"expect\":1", CO_APPLY_CONFLICT, 2 },
     { "", CO_APPLY_DONE, 3 },
@@ -162,10 +162,9 @@
 }
 
 /*
- * Symptom: a change is applied twice, or reported as failed though it is in force.
- * Sequence: the table carries out the write and the answer is lost, once or
- * many times; the operator's tool sends the operation again.
- * Cause: the lost answer is taken for a failure.
+ * Guards against a change that is applied twice, or reported as failed although it is in
+ * force. The table executes the write but its answer is lost, up to three times, and the
+ * operator's tool sends the operation again; a lost answer must not count as a failure.
  */
 static void
 test_a_lost_answer_is_resolved_and_an_operation_counts_once (void)
@@ -226,10 +225,9 @@
 }
 
 /*
- * Symptom: an operator is told that nothing was applied, and later it is in force.
- * Sequence: the write is slow on its way and its answer does not come in time; it
- * is not in the table yet when that is read; then the table can't be reached any more.
- * Cause: "not there" taken for "will never be there".
+ * Guards against reporting a change as not run that takes effect later. The write is
+ * delayed in transit and its answer times out; a read doesn't find it in the table yet;
+ * then the table becomes unreachable. The write may still take effect: unknown.
  */
 static void
 test_a_write_on_its_way_is_not_told_as_not_run (void)
@@ -260,9 +258,9 @@
 }
 
 /*
- * Symptom: a restarted node serves an older configuration than it had in force before.
- * Sequence: the store is down; the node hears of revision 5 from a heartbeat, has none itself.
- * Cause: it counts itself ready with whatever it has.
+ * Guards against a restarted instance serving an older configuration than before. The
+ * store is unreachable, the instance has no configuration, and a heartbeat reports
+ * revision 5: it must not become ready below that revision.
  */
 static void
 test_a_node_is_ready_only_at_the_highest_revision_it_heard_of (void)
@@ -295,7 +293,7 @@
   CU_ASSERT_EQUAL (weight_at (&fixture, 2), 7);
 }
 
-/* One operator's change in the random run. */
+/* One operator's apply in the random test. */
 typedef struct
 {
   guint store;
@@ -320,7 +318,7 @@
   knl_paused_runtime_set_frozen (fixture->daemons.runtimes[i], g_rand_int_range (rand, 0, 4) == 0);
 }
 
-/* What a peer pushes, from any revision and perhaps late: built now, applied by the next call. */
+/* Builds a peer's push from a random revision; the next call applies it, out of date. */
 static void
 random_push (Fixture *fixture, GRand *rand, Alderturn__ConfigPush **late)
 {
@@ -336,7 +334,7 @@
       from, (guint64)g_rand_int_range (rand, 0, (gint32)*co_config_revision (from) + 1));
 }
 
-/* Each try sets an object of its own: what became of it can be seen in the end. */
+/* Each apply sets its own object, so that its effect can be checked at the end. */
 static void
 check_tries (Fixture *fixture, const GPtrArray *tries)
 {
@@ -356,7 +354,7 @@
         CU_ASSERT_PTR_NULL (object);
       done += object != NULL ? 1 : 0;
     }
-  /* Each change made one revision: none counted twice, none was lost. */
+  /* Each change made exactly one revision: none was applied twice, none was lost. */
   last = *co_config_revision (fixture->configs[0]);
   CU_ASSERT_EQUAL (last, done);
   CU_ASSERT_TRUE (done > 20);
@@ -365,11 +363,10 @@
 }
 
 /*
- * Symptom: an accepted change is gone, counts twice, or a refused one is in force.
- * Sequence: operators apply through all controllers at once, which are stopped,
- * cut off or lose answers; peers push what they have, also long after.
- * Cause: any of the faults above, two at a time. Revisions only rise by an invariant of the
- * replica, which is fatal here.
+ * Guards against an accepted change that is lost or applied twice, and a refused one that
+ * is in force. Operators apply through all controllers at once, which are frozen, cut off or
+ * lose answers, with up to two of the faults above at a time; peers push out-of-date states.
+ * The replica's invariant that revisions only rise is fatal here.
  */
 static void
 test_random_operators_and_faults (void)
--- a/tests/unit/co_config_test.c
+++ b/tests/unit/co_config_test.c
@@ -1,4 +1,4 @@
-/** The configuration replica: revisions only rise, whoever sends what and however late. */
+/** The configuration replica: its revision only rises, in whatever order pushes arrive. */
 
 #include "coord/config.h"
 #include "suite.h"
@@ -7,10 +7,10 @@
 {
   guint64 from;
   guint64 to;
-  const char *weight; /* of workspace "a" after it; NULL: it is removed */
+  const char *weight; /* of workspace "a" after the push; NULL: removed */
   gboolean applied;
   guint64 revision;
-  gint64 expected; /* weight in force afterwards; 0: no such workspace */
+  gint64 expected; /* weight in the replica afterwards; 0: no such workspace */
 } Step;
 
 static gboolean
@@ -36,9 +36,9 @@
 }
 
 /*
- * Symptom: a node goes back to a weight that an operator has replaced.
- * Sequence: it applies revision 3, then a slow peer's push of revision 2 or an
- * old snapshot arrives. Cause: pushes come over several links, in any order.
+ * Guards against a replica returning to a value that an operator has replaced.
+ * Pushes arrive over several links in any order: after revision 3 has been applied,
+ * a slow peer's push of revision 2 or an old snapshot may still arrive.
  */
 static void
 test_a_late_push_never_brings_an_older_revision_back (void)
