--- a/coord/credit.c
+++ b/coord/credit.c
@@ -6,10 +6,10 @@
 #include "coord/fair_part.h"
 #include "coord/request_id.h"
 
-/* Beyond the ttl no new grant after a take-over, for clocks of unequal speed. */
+/* After a takeover nothing is granted for TTL + TTL / this, as clocks may differ in speed. */
 #define TAKE_OVER_MARGIN_PART 4
 
-/* An entry that has not asked for this many ttls no longer counts in the sharing. */
+/* An entry that has sent no request for this many TTLs no longer takes part in the sharing. */
 #define SILENT_TTLS 2
 
 /* An entry that could not use its turn for a large request goes behind the others. */
@@ -44,8 +44,8 @@
 
   credit->options = *options;
   /*
-   * The former holder may have granted all of the engine just before. Granted
-   * anew at once, the engine would be promised twice and run out of memory.
+   * The former holder may have granted the full capacity just before. Granting it
+   * again at once would overcommit the engine, and it would run out of memory.
    */
   credit->frozen_until = frozen_until;
   credit->accounts = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, account_free);
@@ -98,7 +98,7 @@
          && co_credit_now (credit) - account->seen < SILENT_TTLS * credit->options.ttl;
 }
 
-/* What must be taken as given to the account: it may hold any of its unexpired grants. */
+/* What counts as granted to the account: it may be using any of its unexpired grants. */
 static void
 given_to (const CoCredit *credit, CoCreditAccount *account, guint64 *tokens, guint *slots)
 {
@@ -112,7 +112,7 @@
       *tokens = MAX (*tokens, grant->tokens);
       *slots = MAX (*slots, grant->slots);
     }
-  /* A dead entry's claim ends with its silence; from then on the engine's report counts. */
+  /* A silent entry's claim no longer counts; from then on only the engine's report does. */
   if (co_credit_is_live (credit, account))
     {
       *tokens = MAX (*tokens, account->claimed_tokens);
@@ -260,9 +260,9 @@
 }
 
 /*
- * Even parts of a busy engine never add up to a large request: each entry would
- * wait with a part that it can't use, until its request's time is up. So one
- * entry after the other has its turn, first come first served, and may collect.
+ * With an even division of a busy engine, no entry would ever get enough for a large
+ * request: each would hold a part that it can't use until its request times out. So
+ * entries with a large request queue, and the first in line may accumulate tokens.
  */
 static CoCreditAccount *
 find_turn (const CoCredit *credit)
@@ -296,14 +296,14 @@
   account->largest = largest;
 }
 
-/* What the account whose turn it is should have. */
+/* Tokens that the account which is first in line should have. */
 static guint64
 turn_part (const CoCredit *credit, const CoCreditAccount *turn)
 {
   return MIN (turn->claimed_tokens + turn->largest, credit->capacity_tokens);
 }
 
-/* Tokens that the account should have, whatever others still hold. */
+/* Tokens that the account should have, regardless of what others still hold. */
 static guint64
 token_part (const CoCredit *credit, const CoCreditAccount *account, const GArray *wants)
 {
@@ -327,7 +327,7 @@
     .expires = co_credit_now (credit) + credit->options.ttl,
   };
 
-  /* Older grants that are no larger are covered by this one, which lasts longer. */
+  /* This grant covers older ones that aren't larger, as it expires later. */
   for (guint i = account->grants->len; i > 0; i--)
     {
       const CoCreditGrant *older = &g_array_index (account->grants, CoCreditGrant, i - 1);
--- a/coord/credit_leaks.c
+++ b/coord/credit_leaks.c
@@ -1,11 +1,11 @@
 #include "coord/credit_private.h"
 #include "coord/request_id.h"
 
-/* A request is a leak when it has been listed, and its entry replaced or claiming nothing, so long.
- */
+/* A request is a leak when, for this time, the engine has listed it and its entry has been replaced
+   or has claimed nothing. */
 #define LEAK_AFTER (3 * KNL_SEC)
 
-/* The same, when its entry is only missing: longer than a cut that heals as a rule. */
+/* The same for an entry that is only missing: longer than most network partitions last. */
 #define MISSING_LEAK_AFTER (60 * KNL_SEC)
 
 void
@@ -26,7 +26,7 @@
   credit->listed = listed;
 }
 
-/* Whether the account's requests that the engine lists belong to nobody. */
+/* Whether no running entry owns the account's requests at the engine any longer. */
 static gboolean
 is_orphaned (CoCredit *credit,
              CoCreditAccount *account,
@@ -39,8 +39,8 @@
   CoEntryState state = state_of (entry, incarnation, data);
 
   /*
-   * An entry that is cut off from the controllers, or has none, goes on with its
-   * streams. Taken for dead at once, it would have them cut by us.
+   * An entry that is cut off from the controllers, or while there are none, continues
+   * its streams. If it were treated as dead at once, its streams would be cancelled.
    */
   if (state == CO_ENTRY_HERE || (state == CO_ENTRY_MISSING && co_credit_is_live (credit, account)))
     account->gone_from = KNL_NEVER;
--- a/include/coord/credit.h
+++ b/include/coord/credit.h
@@ -1,13 +1,13 @@
 #pragma once
 
 /**
- * Credits: the ledger that the holder of an engine's shard keeps of the
- * engine's memory and batch slots. It grants entries expiring parts; the
- * unexpired grants of all never exceed the engine. What entries and the engine
- * itself say is in use counts as given, so that a lost grant or a dead entry is
- * accounted for until the engine has given the memory back.
+ * Credits: the ledger of an engine's memory (in tokens) and batch slots, kept by
+ * the holder of the engine's shard. It gives entries grants that expire; all
+ * unexpired grants together never exceed the engine's capacity. What entries and
+ * the engine report as in use counts as granted, so that a lost grant or a dead
+ * entry is accounted for until the engine has freed the memory.
  *
- * No I/O: the owner feeds reports and requests in and sends what comes out.
+ * Does no I/O: the owner passes reports and requests in, and sends the grants.
  */
 
 #include "endpoint/endpoint.h"
@@ -19,40 +19,41 @@
 {
   KnlKernel *kernel;
   KnlTime ttl; /**< of a grant */
-  /** Part of an engine that is shared out evenly whatever is wanted, so that short requests
-      always have room. */
+  /** Fraction of an engine that is divided evenly, whatever entries want, so that there is always
+      free capacity for short requests. */
   double reserve;
 } CoCreditOptions;
 
-/** What is known of a process of an entry. */
+/** What is known about one process of an entry. */
 typedef enum
 {
-  CO_ENTRY_HERE,     /**< or nothing is known */
-  CO_ENTRY_MISSING,  /**< membership takes it for dead: a hint, which a cut-off process gives too */
-  CO_ENTRY_REPLACED, /**< it has surely ended: a later process has its name */
+  CO_ENTRY_HERE,     /**< it is running, or nothing is known */
+  CO_ENTRY_MISSING,  /**< dead by membership: only a hint, as a process that is cut off looks the
+                        same */
+  CO_ENTRY_REPLACED, /**< it has certainly ended: a later process has its name */
 } CoEntryState;
 
 typedef CoEntryState (*CoEntryStateFunc) (const char *entry, guint64 incarnation, gpointer data);
 
 /**
- * One engine's ledger. Until `frozen_until` it grants nothing: grants of a
- * former ledger may still be in force.
+ * Creates one engine's ledger. It grants nothing until `frozen_until`, as grants of
+ * a former holder's ledger may be unexpired until then.
  */
 CoCredit *co_credit_new (const CoCreditOptions *options, KnlTime frozen_until);
 
-/** How long the grants of a ledger that ends now may be in force, by whatever clock. */
+/** How long grants of a ledger that ends now may stay valid, also on clocks that run slower. */
 KnlTime co_credit_grants_last (const CoCreditOptions *options);
 void co_credit_free (CoCredit *credit);
 
-/** The engine's own report: capacity, and what it runs for whom. */
+/** Applies the engine's report: its capacity, and the requests that it runs. */
 void co_credit_report (CoCredit *credit, const EpReport *report);
 
-/** An entry's request does not name this engine: it claims nothing there. */
+/** Notes that an entry's credit request doesn't list this engine: it claims nothing there. */
 void co_credit_unclaimed (CoCredit *credit, const char *entry, guint64 incarnation);
 
 /**
- * Grants to an entry what can be granted now. FALSE: none yet, after a
- * take-over or before the first report. Fills all of `grant` but the strings and the fence.
+ * Grants an entry what is available now. Returns FALSE before the first report, and
+ * until `frozen_until`: no grant yet. Fills `grant`, except its strings and its fence.
  */
 gboolean co_credit_grant (CoCredit *credit,
                           const char *entry,
@@ -61,13 +62,13 @@
                           Alderturn__CreditGrant *grant);
 
 /**
- * Request ids (copies) that the engine holds for nobody: of entries that have ended, and such
- * as a live entry has not claimed for a while. To be cancelled at the engine, again and again
- * while they are listed.
+ * Returns copies of the ids of leaked requests, which the engine still lists: those of entries
+ * that have ended, and those of live entries that have claimed nothing for a while. The caller
+ * cancels them at the engine, repeatedly as long as they are listed.
  */
 GPtrArray *co_credit_leaks (CoCredit *credit, CoEntryStateFunc state_of, gpointer data);
 
-/** Sum of what is given: unexpired grants, or what is in use where that is more. */
+/** Tokens granted in total: for each entry its unexpired grants, or what is in use if more. */
 guint64 co_credit_given (CoCredit *credit);
 
 guint64 co_credit_capacity (const CoCredit *credit);
--- a/include/coord/credit_private.h
+++ b/include/coord/credit_private.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** The ledger: what it grants is in credit.c, the leaks it finds in credit_leaks.c. */
+/** State of the ledger, shared by credit.c (grants) and credit_leaks.c (leaked requests). */
 
 #include "coord/credit.h"
 
@@ -11,21 +11,21 @@
   KnlTime expires;
 } CoCreditGrant;
 
-/* What one process of an entry has of the engine. */
+/* What one process of an entry has been granted at the engine, uses and wants. */
 typedef struct
 {
   char *name; /* "ENTRY~INCARNATION" */
   GArray *grants;
-  guint64 claimed_tokens; /* in use, by its own last request */
+  guint64 claimed_tokens; /* in use, according to its last request */
   guint claimed_slots;
-  guint64 wanted_tokens; /* in all, what is in use included */
+  guint64 wanted_tokens; /* in total, including what is in use */
   guint wanted_slots;
-  guint64 largest;        /* of one waiting request that needs its room in one piece; 0: none */
-  KnlTime turn_since;     /* since when it waits for its turn to have that room */
-  KnlTime seen;           /* its last request; -1: none */
-  KnlTime unclaimed_from; /* since when it has claimed nothing; KNL_NEVER: it claims something */
-  KnlTime gone_from;      /* since when its process is known to be gone; KNL_NEVER: it is not */
-  guint64 running_tokens; /* by the engine's last report */
+  guint64 largest;        /* tokens that one waiting request needs at once; 0: none */
+  KnlTime turn_since;     /* when it joined the queue for `largest` */
+  KnlTime seen;           /* time of its last request; -1: none */
+  KnlTime unclaimed_from; /* when it stopped claiming anything; KNL_NEVER: it claims something */
+  KnlTime gone_from;      /* when its process was first seen gone; KNL_NEVER: it isn't gone */
+  guint64 running_tokens; /* according to the engine's last report */
   guint running_slots;
 } CoCreditAccount;
 
@@ -40,21 +40,21 @@
   guint waiting;
   guint64 prefill_backlog;
   gboolean leaving;
-  KnlTime report_made; /* when the engine made the report, on our clock */
-  guint64 foreign_tokens;
+  KnlTime report_made;    /* when the engine made the report, on this process's clock */
+  guint64 foreign_tokens; /* of requests whose id names no entry */
   guint foreign_slots;
   GHashTable *accounts; /* name -> CoCreditAccount */
-  GHashTable *listed;   /* request id -> KnlTime *, since when the engine has listed it */
+  GHashTable *listed;   /* request id -> KnlTime *, time of the first report that listed it */
 };
 
 KnlTime co_credit_now (const CoCredit *credit);
 
-/** The account of one process of an entry; NULL: there is none and `make` is FALSE. */
+/** The account of one process of an entry, created if `make`; NULL when there is none. */
 CoCreditAccount *
 co_credit_account (CoCredit *credit, const char *entry, guint64 incarnation, gboolean make);
 
-/** Whether its process has asked lately. */
+/** Whether the account's process has sent a request recently. */
 gboolean co_credit_is_live (const CoCredit *credit, const CoCreditAccount *account);
 
-/** Keeps, of each request that the report lists, since when it has been listed. */
+/** Updates, for each request in the report, the time since when it has been listed. */
 void co_credit_note_listed (CoCredit *credit, const EpReport *report);
--- a/tests/unit/co_credit_test.c
+++ b/tests/unit/co_credit_test.c
@@ -1,4 +1,4 @@
-/** The credit ledger: never more than the engine has, everything comes back, fair parts. */
+/** The credit ledger: grants within the engine's capacity, fair shares, and leaked requests. */
 
 #include "coord/credit.h"
 #include "kernel/paused.h"
@@ -11,14 +11,14 @@
 #define SLOTS    64
 #define ENTRIES  4
 
-/* An entry's side: a grant counts from when its request was sent. */
+/* Simulates an entry: a grant is valid for the TTL from when its request was sent. */
 typedef struct
 {
   char name[8];
   guint64 granted;
   KnlTime expires;
   guint64 used;
-  /* The answer on its way: */
+  /* The answer in transit: */
   guint64 coming;
   KnlTime sent;
   KnlTime arrives; /* 0: none */
@@ -114,7 +114,7 @@
       g_autoptr (Fixture) fixture = fixture_new (rows[r].reserve);
 
       knl_paused_clock_advance (fixture->clock, 2 * TTL);
-      /* All have asked before parts settle, and older, larger grants have lapsed. */
+      /* Shares settle after all entries have asked and older, larger grants have expired. */
       for (guint round = 0; round < 12; round++)
         {
           for (guint i = 0; i < ENTRIES; i++)
@@ -129,7 +129,7 @@
     }
 }
 
-/* What the entries can have in use together at this moment. */
+/* Tokens that all entries together can have in use now. */
 static guint64
 held (const Fixture *fixture)
 {
@@ -163,7 +163,7 @@
   entry->sent = now;
   entry->coming =
       ask (fixture, entry->name, entry->used, (guint64)g_rand_int_range (rand, 0, 3 * CAPACITY));
-  /* A fifth of the answers is lost. */
+  /* One in five answers is lost. */
   if (entry->coming > 0 && g_rand_int_range (rand, 0, 5) > 0)
     entry->arrives = now + g_rand_int_range (rand, 1, 300) * KNL_MSEC;
 }
@@ -187,10 +187,10 @@
 }
 
 /*
- * Symptom: an engine runs out of memory though every entry kept to its grant.
- * Sequence: entries' wants change, answers come late or not at all, now and then
- * another holder takes over with an empty ledger.
- * Cause: a ledger that forgets an unexpired grant, its own or its predecessor's.
+ * Guards against an engine that runs out of memory although every entry keeps to its grant,
+ * because the ledger forgot an unexpired grant, its own or that of the holder before it.
+ * Entries' wants change, answers are delayed or lost, and now and then another holder takes
+ * over with an empty ledger.
  */
 static void
 test_entries_together_never_hold_more_than_the_engine_has (void)
@@ -225,9 +225,9 @@
 }
 
 /*
- * Symptom: an engine is promised twice after an entry died.
- * Sequence: the entry falls silent with requests on the engine, its grants lapse.
- * Cause: a ledger that counts grants only, not what the engine itself still lists.
+ * Guards against granting an engine's memory twice after an entry has died. The entry
+ * falls silent with requests running and its grants expire; a ledger that counts only
+ * grants would miss the requests that the engine still lists.
  */
 static void
 test_a_dead_entrys_memory_counts_until_it_is_given_back (void)
@@ -252,9 +252,9 @@
 }
 
 /*
- * Symptom: an engine's memory stays taken for good.
- * Sequence: an entry dies, or its cancel is lost; the engine still lists the request.
- * Cause: nobody compares the engine's list with who claims what.
+ * Guards against engine memory that is never freed. An entry dies or its cancel is lost,
+ * and the engine still lists the request; the ledger must compare the engine's list with
+ * what entries claim.
  */
 static void
 test_leaks_by_table (void)
@@ -262,8 +262,8 @@
   static const struct
   {
     const char *request;
-    guint64 claimed; /* by e1, which asks all the time, though membership misses it */
-    KnlTime after;   /* when it is first cancelled; 0: never */
+    guint64 claimed; /* by e1, which keeps sending requests although membership has it as missing */
+    KnlTime after;   /* time of the first cancel; 0: never */
   } rows[] = {
     { "e9~1~1", 0, 3 * KNL_SEC }, { "e7~1~1", 0, 60 * KNL_SEC }, { "e1~1~1", 0, 3 * KNL_SEC },
     { "e1~1~1", 50, 0 },          { "elsewhere", 0, 0 },         { "e8~1~1", 0, 0 },
@@ -290,17 +290,15 @@
           knl_paused_clock_advance (fixture->clock, 250 * KNL_MSEC);
         }
       CU_ASSERT_EQUAL (first, rows[r].after);
-      /* Cancelled again as long as it is listed. */
+      /* A leak is reported repeatedly as long as it is listed. */
       CU_ASSERT_EQUAL (leaks > 20, rows[r].after > 0);
     }
 }
 
 /*
- * Symptom: on a busy fleet with several entries, prompts near an engine's memory are refused
- * when their time is up, though engines have room for them one after the other.
- * Sequence: each entry waits with such a prompt and asks for its room; the room is
- * parted evenly; no part is enough, and nobody gives its part back.
- * Cause: fairness by parts, where a part is of no use.
+ * Guards against prompts nearly as large as an engine's memory timing out on a busy fleet,
+ * although the engine could run them one after another. Several entries each wait with such
+ * a prompt; with an even division no entry gets enough, and none returns its part.
  */
 static void
 test_large_requests_have_turns (void)
