--- a/coord/idem.c
+++ b/coord/idem.c
@@ -6,13 +6,14 @@
 
 #define KEY_PREFIX "idem"
 
-/* Pause before a write that the table refused, or a read that failed, is tried again. */
+/* Delay before retrying a failed read, or a write that wasn't carried out. */
 #define RETRY_DELAY (50 * KNL_MSEC)
 
-/* Attempts that were refused with an unresolved write are recorded as not run within this time. */
+/* Time limit for recording an attempt as not run, after its begin was refused with an unresolved
+   write. */
 #define CLEANUP_LIMIT (60 * KNL_SEC)
 
-/* Requests that may wait at once; beyond it they are refused. */
+/* Requests that may be pending at once; further ones are refused. */
 #define OPS_LIMIT 20000
 
 static void step (CoIdemKey *key);
@@ -63,7 +64,7 @@
     op->begun (&reply, op->data);
 }
 
-/* Ends the first request of the key. */
+/* Ends the key's first request. */
 static void
 end_op (CoIdemKey *key, Alderturn__IdemVerdict verdict, gboolean durable)
 {
@@ -88,8 +89,9 @@
 }
 
 /*
- * The caller of a refused begin is told that nothing ran, and nothing did; but
- * its write may still take effect and leave a record begun that nobody ends.
+ * The caller of a refused begin is told that nothing ran, which is true. But its
+ * write may still take effect, and would leave a begun record that is never finished:
+ * so the attempt is recorded as not run.
  */
 static void
 record_refused (CoIdemKey *key, const CoIdemOp *refused)
@@ -189,7 +191,7 @@
     }
 }
 
-/* Works on the key's first request until it has to wait. */
+/* Processes the key's requests until one has to wait. */
 static void
 step (CoIdemKey *key)
 {
@@ -205,8 +207,8 @@
           give_up_op (key);
           continue;
         }
-      /* A new key has no record as a rule: its begin is written at once, on the check that there is
-         none. */
+      /* Most keys are new: a begin is written without a read first, on condition that the row
+         doesn't exist. */
       if (!key->known && (key->read || !op->is_begin))
         {
           key->busy = TRUE;
@@ -270,9 +272,9 @@
       G_GNUC_FALLTHROUGH;
     case TB_CONFLICT:
       /*
-       * Of a batch that collided one key may be to blame, or the lease; after a
-       * lost answer the rows may be written or not. Taken for either, a request
-       * would run twice or be told that it can't run. So each is read and goes alone.
+       * The conflict of a batch may be due to a single key or to the lease; after a
+       * lost answer the rows may be written or not. Assuming either could let a request
+       * run twice or refuse it wrongly. So each key is read, then written alone.
        */
       key->known = FALSE;
       key->read = TRUE;
@@ -282,7 +284,7 @@
   step (key);
 }
 
-/* What this process knew of a shard's records may be overwritten by the next holder. */
+/* Drops a shard's keys when its lease has changed: another holder may write their records. */
 static void
 on_lease (CoLeases *leases, guint shard, guint64 fence, gpointer data)
 {
@@ -354,7 +356,7 @@
   return shard;
 }
 
-/* The key, or NULL when this process does not hold its shard or has too much to do. */
+/* The key, created if needed; NULL when this process doesn't hold its shard or is overloaded. */
 static CoIdemKey *
 find_key (CoIdem *idem, const char *workspace, const char *name)
 {
--- a/coord/idem_batch.c
+++ b/coord/idem_batch.c
@@ -1,4 +1,4 @@
-/** Group commits of idempotency records: one transaction for those of many requests. */
+/** Group commit of idempotency records: one transaction for many requests. */
 
 #include "coord/idem_private.h"
 
@@ -48,7 +48,7 @@
     idem->flush = knl_timer_start (idem->options.kernel, 0, flush_due, idem);
 }
 
-/* The fence row of each shard in the batch, once. */
+/* Adds the check of the fence row of the key's shard, once per batch. */
 static void
 add_fence_check (const CoIdem *idem,
                  const CoIdemKey *key,
@@ -95,7 +95,7 @@
   g_free (writes);
 }
 
-/* Takes the next keys to be written: one that goes alone, or as many as one transaction holds. */
+/* Dequeues the next keys: one `solo` key, or as many others as fit into one transaction. */
 static GPtrArray *
 take_batch (CoIdem *idem, GPtrArray *values)
 {
@@ -111,7 +111,7 @@
         break;
       g_queue_pop_head (&idem->waiting);
       alone = key->solo;
-      /* Right before the act: this process may have been paused since the request came. */
+      /* Checked just before sending: the process may have been paused since the request came. */
       if (key->gone || !co_lease_valid (idem->options.leases, key->shard, NULL))
         {
           co_idem_key_written (key, TB_UNAVAILABLE, 0);
--- a/coord/idem_step.c
+++ b/coord/idem_step.c
@@ -17,7 +17,7 @@
   return (CoIdemDecision){ .action = CO_IDEM_REPLY, .verdict = verdict };
 }
 
-/* Within one attempt a record only moves forward; a new attempt may follow one that did not run. */
+/* Within one attempt the state only rises; a new attempt may follow only one that didn't run. */
 static CoIdemDecision
 write_record (const CoIdemRecord *record, CoIdemRecord next)
 {
@@ -57,8 +57,8 @@
   if (record->state == NONE)
     return begin_record (record, attempt, digest);
   /*
-   * An attempt that gave up has had this recorded; its begin, late on its way,
-   * must not open the record again, as nobody would close it.
+   * The attempt has given up, and is recorded as not run. Its own begin, delayed in
+   * transit, must not begin the record again, as no finish would follow.
    */
   if (record->state == NOT_RUN)
     return same ? reply (ALDERTURN__IDEM_VERDICT__IDEM_VERDICT_REFUSED)
--- a/coord/idem_sweep.c
+++ b/coord/idem_sweep.c
@@ -5,7 +5,7 @@
 #define EPOCH_ROW    "idem-epoch"
 #define ROW_PREFIX   "idem/"
 #define PAGE_ROWS    50
-#define READS_A_TIME 8 /* of the epoch, in the time that it lasts */
+#define READS_A_TIME 8 /* reads of the epoch's row per `epoch_time` */
 
 struct CoIdemSweep
 {
@@ -17,9 +17,9 @@
   TbCallId page_call;
   guint64 epoch;
   guint64 version;         /* of the epoch's row */
-  KnlTime unchanged_since; /* when this epoch was first seen here */
+  KnlTime unchanged_since; /* when this process first saw this epoch */
   gboolean sweeping;
-  char *after; /* key of the last row looked at */
+  char *after; /* key of the last row read */
   guint n_doomed;
   guint64 deleted;
 };
@@ -66,7 +66,7 @@
 static void
 on_raised (TbStatus status, guint64 version, gpointer data)
 {
-  /* Whether it worked, the next read tells. */
+  /* The next read shows whether the write took effect. */
   ((CoIdemSweep *)data)->epoch_call = 0;
 }
 
@@ -145,7 +145,7 @@
   CoIdemSweep *sweep = data;
 
   sweep->page_call = 0;
-  /* After a collision the rest of the page is left to the next epoch's sweep. */
+  /* After a failure the page's rows are left to the next epoch's sweep. */
   if (status == TB_OK)
     sweep->deleted += sweep->n_doomed;
   next_page (sweep);
--- a/include/coord/idem.h
+++ b/include/coord/idem.h
@@ -1,13 +1,13 @@
 #pragma once
 
 /**
- * Durable idempotency records, as the holder of a key's shard keeps them.
+ * Durable idempotency records, kept by the holder of a key's shard.
  *
  * A record is written before the endpoint is contacted; records of many
- * requests go into one transaction. Each transaction checks the shard's fence
- * row, so that a former holder that was paused can't write, and the rows'
- * versions, so that nothing is overwritten unseen. A record moves forward only,
- * and one whose outcome can't be known is never run again.
+ * requests share one transaction. Each transaction checks the shard's fence row,
+ * so that a former holder that was paused can't write, and the rows' versions, so
+ * that no concurrent change is overwritten. A record's state only moves forward,
+ * and a request whose outcome can't be determined never runs again.
  */
 
 #include "coord/idem_record.h"
@@ -15,7 +15,7 @@
 
 typedef struct CoIdem CoIdem;
 
-/** TRUE when the process that made this request id has surely ended. A wrong answer is safe. */
+/** TRUE when the process that made this attempt id has certainly ended. A wrong result is safe. */
 typedef gboolean (*CoAttemptGoneFunc) (const char *attempt, gpointer data);
 
 typedef struct
@@ -23,12 +23,12 @@
   KnlKernel *kernel;
   TbTable *platform;
   CoLeases *leases;
-  KnlTime batch_delay;   /**< that a write waits for others to go with */
-  KnlTime begin_limit;   /**< a begin without a durable record by then is refused */
-  KnlTime finish_limit;  /**< a finish not durable by then is answered so */
-  KnlTime attempt_limit; /**< a record begun so long ago becomes unknown */
-  gsize answer_bytes;    /**< longer answers are not kept */
-  guint cache_limit;     /**< records kept in memory */
+  KnlTime batch_delay;   /**< time that a write waits for others, to share a transaction */
+  KnlTime begin_limit;   /**< a begin without a durable record after this time is refused */
+  KnlTime finish_limit;  /**< a finish that isn't durable after this time is answered as such */
+  KnlTime attempt_limit; /**< a record that is begun for this time becomes unknown */
+  gsize answer_bytes;    /**< longer answers aren't stored */
+  guint cache_limit;     /**< records in memory; beyond it, idle ones are evicted */
   CoAttemptGoneFunc attempt_gone;
   gpointer data;
 } CoIdemOptions;
@@ -36,12 +36,12 @@
 /** May be called inside co_idem_begin(); `reply` is valid during the call. */
 typedef void (*CoIdemReplyFunc) (const Alderturn__IdemReply *reply, gpointer data);
 
-/** `durable`: recorded, or there is nothing to record any more. */
+/** `durable`: the outcome is recorded, or there is nothing left to record. */
 typedef void (*CoIdemFinishFunc) (gboolean durable, gpointer data);
 
 CoIdem *co_idem_new (const CoIdemOptions *options);
 
-/** Requests under way are dropped with their callbacks. */
+/** Drops pending requests without calling their callbacks. */
 void co_idem_free (CoIdem *idem);
 
 void co_idem_begin (CoIdem *idem,
@@ -56,9 +56,11 @@
 /** The shard of a key. */
 guint co_idem_shard (const char *workspace, const char *key, guint n_shards);
 
-/** The present epoch of the retention clock, which new records carry. */
+/** Sets the current epoch of the retention clock, which new records carry; it only rises. */
 void co_idem_set_epoch (CoIdem *idem, guint64 epoch);
 
-/** Records in memory, and transactions sent so far. */
+/** Number of records in memory. */
 guint co_idem_cached (const CoIdem *idem);
+
+/** Number of transactions sent so far. */
 guint64 co_idem_batches (const CoIdem *idem);
--- a/include/coord/idem_private.h
+++ b/include/coord/idem_private.h
@@ -1,35 +1,35 @@
 #pragma once
 
-/** The state behind coord/idem.h, shared by the files that make it up; not for others. */
+/** State shared by the files that implement coord/idem.h; private to them. */
 
 #include "coord/idem.h"
 
 typedef struct CoIdemKey CoIdemKey;
 
-/* One request on a key. */
+/* One request for a key. */
 typedef struct
 {
   gboolean is_begin;
   CoIdemRecord what; /* attempt and digest of a begin; attempt, state, answer of a finish */
   guint64 call;
   KnlTime deadline;
-  CoIdemReplyFunc begun; /* NULL, as `finished`: nobody waits */
-  CoIdemFinishFunc finished;
+  CoIdemReplyFunc begun;     /* NULL: the result isn't reported */
+  CoIdemFinishFunc finished; /* likewise */
   gpointer data;
 } CoIdemOp;
 
 struct CoIdemKey
 {
   CoIdem *idem;
-  char *name; /* of the row */
+  char *name; /* key of its row */
   guint shard;
-  GQueue ops;     /* CoIdemOp; the first is worked on */
-  gboolean known; /* record and version are the table's, as long as the lease is ours */
-  gboolean read;  /* it must be read before it is written */
-  gboolean solo;  /* it goes alone, since its last transaction collided */
+  GQueue ops;     /* CoIdemOp; the first is being processed */
+  gboolean known; /* record and version equal the table's while this process has the lease */
+  gboolean read;  /* the row must be read before it is written */
+  gboolean solo;  /* after a conflict or a lost answer: not batched with other keys */
   gboolean open;  /* a write without an answer may still take effect */
-  gboolean busy;  /* waits for a batch, a read, or its retry */
-  gboolean gone;  /* the lease is lost; freed when no longer busy */
+  gboolean busy;  /* waits for a batch, a read or a retry */
+  gboolean gone;  /* the key is freed when it is no longer busy */
   guint64 version;
   CoIdemRecord record;
   CoIdemRecord next; /* being written */
@@ -43,22 +43,22 @@
 {
   CoIdemOptions options;
   GHashTable *keys; /* name -> CoIdemKey */
-  GQueue recent;    /* idle keys, the one used last first */
+  GQueue recent;    /* idle keys, most recently used first */
   GQueue waiting;   /* keys to be written */
-  GList *batches;   /* of idem_batch.c, under way */
+  GList *batches;   /* CoIdemBatch (idem_batch.c), in flight */
   KnlTimerId flush;
   guint64 epoch;
   guint n_ops;
   guint64 n_batches;
 };
 
-/** Has the key's record written as `next`, which it takes over, with those of other keys. */
+/** Queues a write of the key's record, in a batch with other keys. Takes ownership of `next`. */
 void co_idem_want_write (CoIdemKey *key, CoIdemRecord next);
 
-/** What became of that; the key may be freed. */
+/** Handles the result of the write; may free the key. */
 void co_idem_key_written (CoIdemKey *key, TbStatus status, guint64 version);
 
 void co_idem_key_free (CoIdemKey *key);
 
-/** Drops all that waits to be written or is under way. */
+/** Drops all queued writes and all batches in flight. */
 void co_idem_batches_clear (CoIdem *idem);
--- a/include/coord/idem_record.h
+++ b/include/coord/idem_record.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** The value of a row "idem/WORKSPACE/KEY": what became of the request with that key. */
+/** The value of a row "idem/WORKSPACE/KEY": the state and outcome of the request with that key. */
 
 #include <glib.h>
 
@@ -10,18 +10,18 @@
 {
   Alderturn__IdemState state; /**< UNSPECIFIED: there is no record */
   char *attempt;
-  guint64 digest; /**< 0: not known */
-  guint32 status; /**< of the answer; 0: it is not kept */
+  guint64 digest; /**< of the request; 0: unknown */
+  guint32 status; /**< of the answer; 0: the answer isn't stored */
   char *content_type;
   GBytes *body;
-  guint64 epoch; /**< of the retention clock when it was written */
+  guint64 epoch; /**< of the retention clock at the last write */
 } CoIdemRecord;
 
 void co_idem_record_clear (CoIdemRecord *record);
 CoIdemRecord co_idem_record_copy (const CoIdemRecord *record);
 
-/** FALSE when `value` is none. */
+/** Returns FALSE, and an empty record, when `value` isn't a valid record. */
 gboolean co_idem_record_parse (const char *value, CoIdemRecord *record);
 
-/** Free with free(). */
+/** The row's value. Free with free(). */
 char *co_idem_record_value (const CoIdemRecord *record);
--- a/include/coord/idem_sweep.h
+++ b/include/coord/idem_sweep.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * Ages idempotency records and deletes old ones, without shared clocks: an
- * epoch in the table, raised by the holder of one shard once it has itself
- * watched it for an epoch's time. Records carry the epoch of their last write;
- * those older than the retention are deleted in small batches, each row on the
- * check of its version. Time with no holder makes epochs longer, never shorter.
+ * Expires idempotency records without synchronized clocks. The table has an epoch,
+ * which the holder of one shard raises after it has itself seen the same epoch for
+ * `epoch_time`. Records carry the epoch of their last write; those older than the
+ * retention are deleted in small batches, conditional on each row's version. While
+ * there is no holder epochs become longer, never shorter.
  *
  * Row: "idem-epoch".
  */
@@ -19,14 +19,14 @@
   KnlKernel *kernel;
   TbTable *platform;
   CoLeases *leases;
-  CoIdem *idem;       /**< is told the epoch */
-  KnlTime epoch_time; /**< how long an epoch lasts at least */
-  guint64 keep;       /**< epochs that a record is kept at least */
+  CoIdem *idem;       /**< receives the current epoch */
+  KnlTime epoch_time; /**< minimum duration of an epoch */
+  guint64 keep;       /**< minimum number of epochs that a record is kept */
   KnlTime page_pause; /**< between two pages of a sweep */
 } CoIdemSweepOptions;
 
 CoIdemSweep *co_idem_sweep_new (const CoIdemSweepOptions *options);
 void co_idem_sweep_free (CoIdemSweep *sweep);
 
-/** Records deleted so far. */
+/** Number of records deleted so far. */
 guint64 co_idem_sweep_deleted (const CoIdemSweep *sweep);
--- a/tests/unit/co_housekeeping_test.c
+++ b/tests/unit/co_housekeeping_test.c
@@ -1,4 +1,4 @@
-/** The table stays bounded: old changes and old records go, what is needed stays. */
+/** Old configuration changes and idempotency records are deleted, later ones are kept. */
 
 #include "coord/config_compact.h"
 #include "coord/config_store.h"
@@ -94,7 +94,7 @@
   CU_ASSERT_EQUAL (result->status, CO_APPLY_DONE);
 }
 
-/* Each operation makes "a", makes and removes "b": two changes or three. */
+/* Each operation makes three changes: it sets "a", and creates and removes an object "bN". */
 static void
 test_history_is_bounded_and_a_replica_behind_it_catches_up (void)
 {
@@ -160,16 +160,16 @@
 }
 
 /*
- * Symptom: the table fills up, or a key runs again while its record should still be kept.
- * Sequence: 120 records, then epoch after epoch. Cause: records never
- * deleted, or by a clock that is not the holder's own.
+ * Guards against records that are never deleted, so that the table fills up, and records
+ * deleted before their retention ends, so that a key would run again. 120 records are
+ * written, then the epochs pass by the holder's own clock.
  */
 static void
 test_records_are_kept_for_the_retention_and_no_longer_than_two_epochs_more (void)
 {
   g_autoptr (Fixture) fixture = fixture_new ();
 
-  /* Long after the first epochs, which have nothing to delete. */
+  /* Starts long after the first epochs, in which there is nothing to delete. */
   knl_paused_clock_advance (fixture->daemons.clock, 60 * EPOCH + EPOCH / 4);
   for (guint i = 0; i < 120; i++)
     {
--- a/tests/unit/co_idem_test.c
+++ b/tests/unit/co_idem_test.c
@@ -1,4 +1,4 @@
-/** Idempotency records: at most one attempt runs, whatever is lost, paused or down. */
+/** Idempotency records: at most one attempt runs, despite lost answers, pauses and outages. */
 
 #include "coord/idem.h"
 #include "daemons.h"
@@ -15,10 +15,10 @@
   Daemons daemons;
   CoLeases *leases[HOLDERS];
   CoIdem *idems[HOLDERS];
-  gboolean gone; /* what is told of every attempt's process */
+  gboolean gone; /* whether every attempt's process is reported as ended */
 } Fixture;
 
-/* One attempt and what it was told. */
+/* The result of one begin or finish. */
 typedef struct
 {
   guint answers;
@@ -164,7 +164,7 @@
 static void
 test_verdicts_by_table (void)
 {
-  /* In order on one key: an attempt's finish, or its begin and the verdict. */
+  /* Applied in order to one key: an attempt's finish, or its begin with the expected verdict. */
   static const struct
   {
     const char *attempt;
@@ -204,10 +204,9 @@
 }
 
 /*
- * Symptom: an order is carried out twice.
- * Sequence: a holder is stopped with a begin in its hands; another takes over
- * and lets a second attempt run; the first holder goes on and writes.
- * Cause: a write that does not depend on the lease, or on what is there.
+ * Guards against a request that runs twice. A holder is frozen while it processes a begin;
+ * another takes over and lets a second attempt run; then the first holder resumes and
+ * writes. Its write must depend on the lease and on the row's version.
  */
 static void
 test_a_paused_holder_writes_nothing (void)
@@ -237,10 +236,9 @@
 }
 
 /*
- * Symptom: a record appears that the shard's holder knows nothing of.
- * Sequence: a holder's write is slow on its way; it is stopped, another takes
- * over, and only then the write arrives.
- * Cause: nothing in the write depends on the lease.
+ * Guards against a former holder's write that takes effect without the new holder knowing.
+ * The write is delayed in transit, the holder is frozen, another takes over, and only then
+ * does the write arrive. It must depend on the lease.
  */
 static void
 test_a_late_write_of_a_former_holder_has_no_effect (void)
@@ -263,9 +261,9 @@
 }
 
 /*
- * Symptom: a request is refused as not run though its record says begun, or runs twice.
- * Sequence: the table writes the records and the answer is lost; or it is down.
- * Cause: the lost answer taken for a failure.
+ * Guards against a request that is refused as not run although its record is begun, or that
+ * runs twice. The table writes the record and the answer is lost, or the table is down; a
+ * lost answer must not count as a failure.
  */
 static void
 test_lost_answers_and_outages (void)
@@ -282,7 +280,7 @@
   begin_at (fixture, holder_of (fixture, "k"), "k", "a", 1, &told);
   run (fixture, KNL_SEC);
   CU_ASSERT_EQUAL (told.verdict, VERDICT (RUN));
-  /* Its limit passes before it is known: refused, and then recorded so. */
+  /* The time limit passes with the write's effect unknown: refused, then recorded as not run. */
   holder = holder_of (fixture, "l");
   fk_memory_platform_set_fault (fixture->daemons.platforms[holder], FK_PLATFORM_DEAF);
   begin_at (fixture, holder, "l", "a", 1, &told);
@@ -317,7 +315,7 @@
   CU_ASSERT_TRUE (co_idem_cached (fixture->idems[0]) + co_idem_cached (fixture->idems[1]) <= 8);
 }
 
-/* A key as its callers know it. */
+/* A key, as seen by its callers. */
 typedef struct
 {
   char name[4];
@@ -325,7 +323,7 @@
   Told told;
   gboolean runs;  /* `attempt` was told to run and has not been recorded as not run */
   gboolean ended; /* recorded as done */
-  gboolean asked; /* `told` is still waited for */
+  gboolean asked; /* the last begin or finish has no result yet */
   Alderturn__IdemState finishing;
 } Subject;
 
