--- a/entry/attempt.c
+++ b/entry/attempt.c
@@ -6,20 +6,20 @@
 #define CONNECT_LIMIT (1 * KNL_SEC)
 #define SILENCE_LIMIT (2 * KNL_SEC)
 
-/* A prefill of a long prompt is silent while it lasts; each silent resume waits longer. */
+/* The stream is silent during the prefill of a long prompt, so each silent resume waits longer. */
 #define SILENCE_LIMIT_MOST (24 * KNL_SEC)
 
 #define RESUME_FIRST (50 * KNL_MSEC)
 #define RESUME_LIMIT (800 * KNL_MSEC)
 
-/* Connections in a row that were refused or broke the rules. */
+/* Consecutive connections that failed, were closed or violated the protocol. */
 #define STRIKES_MOST 4
 
-/* Reports in a row that did not come, from an engine whose stream is silent. */
+/* Consecutive unanswered report requests to an engine whose stream is silent. */
 #define PROBES_MOST 2
 #define PROBE_PAUSE (100 * KNL_MSEC)
 
-/* An engine whose every connection breaks after some tokens is given up on at last. */
+/* Bounds an attempt at an engine whose connections all break after a few tokens. */
 #define RESUMES_MOST 64
 
 struct EnAttempt
@@ -38,7 +38,7 @@
   char *adapter;
   char *imports;
   GBytes *prompt;
-  EpGenerate generate; /* its strings are the ones above */
+  EpGenerate generate; /* its strings are owned by the fields above */
   KnlTime deadline;
   EpStream *stream;
   EpCallId probe;
@@ -46,14 +46,14 @@
   CmBackoff backoff;
   KnlTime silence;
   guint strikes;
-  KnlTime heard_at; /* the last event of a stream, or its start */
-  guint unanswered; /* probes in a row */
+  KnlTime heard_at; /* time of the last event of a stream, or of its start */
+  guint unanswered; /* consecutive probes without a report */
   guint resumes;
   gboolean accepted;
-  gboolean sent;          /* some connection may have brought it to the engine */
-  gboolean unknown_there; /* the engine said that it has no such request */
+  gboolean sent;          /* a connection may have delivered the request to the engine */
+  gboolean unknown_there; /* the engine reported that it has no such request */
   gboolean over;          /* no more events */
-  guint depth;            /* stream events that run now */
+  guint depth;            /* nesting of callbacks; the attempt is freed at 0 */
 };
 
 static void
@@ -243,8 +243,8 @@
 }
 
 /*
- * A silent stream and reports that do not come, each over a connection of its
- * own: the engine is stopped or cut off, and its caller need not wait for it.
+ * The stream is silent and report requests over separate connections are unanswered: the engine is
+ * stopped or unreachable, and the caller needn't wait for it.
  */
 static void
 probe_unanswered (EnAttempt *self)
@@ -256,8 +256,8 @@
 }
 
 /*
- * Silence is no proof of death: an engine may be prefilling, or only this
- * connection may be lost. Its report, over another connection, tells them apart.
+ * A silent stream doesn't prove that the engine is down: it may be prefilling, or only this
+ * connection may be lost. A report over another connection tells these cases apart.
  */
 static void
 on_probed (const EpReport *report, gpointer data)
@@ -301,7 +301,7 @@
 {
   if (failure->kind == EP_REFUSED)
     {
-      /* The engine has no such request: it restarted, or its hold time has passed. */
+      /* The engine has no such request: it restarted, or its hold time has expired. */
       self->unknown_there = TRUE;
       probe (self);
     }
@@ -311,7 +311,7 @@
     lose_unknown (self, TRUE, "the engine can't be reached");
   else
     {
-      /* A connection that was closed, or broke the rules, says nothing about the engine. */
+      /* A connection that was closed or violated the protocol says nothing about the engine. */
       self->strikes++;
       schedule_resume (self);
     }
--- a/entry/cache.c
+++ b/entry/cache.c
@@ -1,12 +1,12 @@
 /**
- * What engines' prefix caches hold. The entry learns it from its own routing at
- * once and from the engines' events later; those come late and with gaps, so the
- * result is a hint that is only worth a shorter estimate.
+ * Tracks the contents of engines' prefix caches: from this entry's dispatches at
+ * once, and from the engines' cache events later. Events come late and with gaps,
+ * so the result is only a hint, used to shorten the estimated wait.
  */
 
 #include "entry/core_internal.h"
 
-/* Beyond that an engine's set is begun anew: its cache has long evicted most of it. */
+/* Prefixes tracked per engine. A full set is cleared: the engine has evicted most of it by then. */
 #define PREFIXES_MOST 8192
 
 typedef struct
@@ -59,7 +59,7 @@
   poll->call = 0;
   if (ok && endpoint != NULL)
     {
-      /* A lower number than seen: the engine has restarted and counts anew. */
+      /* A lower number than before: the engine has restarted its sequence. */
       if (last_sequence < endpoint->cache_sequence)
         endpoint->cache_sequence = 0;
       for (guint i = 0; i < n_events; i++)
@@ -69,7 +69,7 @@
   g_hash_table_remove (core->cache_polls, poll->endpoint);
 }
 
-/* One engine at a time, and only those whose caches our prompts use. */
+/* Polls one engine per call, and only engines that this entry has sent prompts to. */
 void
 en_core_poll_next_cache (EnCore *core)
 {
--- a/entry/core.c
+++ b/entry/core.c
@@ -24,8 +24,8 @@
   core->budgets = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 }
 
-/* Controllers count the same way and tell their totals; after an hour without a word the count
- * made here is old. */
+/* Controllers apply the same rule and send their totals; a count that isn't refreshed for an hour
+ * is stale and dropped. */
 static const PolSuspectRule suspect_rule = { .refuse_at = 2, .life = 3600 * KNL_SEC };
 
 static void
--- a/entry/core_internal.h
+++ b/entry/core_internal.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** What the parts of the core share; nothing outside of it includes this. */
+/** Internals shared by the source files of the core; not for inclusion elsewhere. */
 
 #include "common/metrics.h"
 #include "common/retry.h"
@@ -22,8 +22,8 @@
 typedef enum
 {
   EN_DRAIN_SERVING,
-  EN_DRAIN_LEAVING,  /**< off the list of entries, still takes requests */
-  EN_DRAIN_REFUSING, /**< finishes what it has */
+  EN_DRAIN_LEAVING,  /**< removed from the list of entries, still accepts requests */
+  EN_DRAIN_REFUSING, /**< refuses new requests and finishes those in flight */
   EN_DRAIN_OVER,
 } EnDrainState;
 
@@ -33,7 +33,7 @@
   char *instance;
   char *zone;
   guint64 incarnation;
-  EnCoreSettings settings; /* its strings are the ones above */
+  EnCoreSettings settings; /* its strings are owned by the fields above */
   EpClient *client;
   EnUplink *uplink;
   CoConfig *config;
@@ -57,7 +57,7 @@
   GHashTable *polls;       /* endpoint name -> Poll */
   GHashTable *cache_polls; /* endpoint name -> CachePoll */
   guint next_cache_poll;
-  guint64 acquiring; /* number of the request that acquires a reservation; 0: none */
+  guint64 acquiring; /* number of the request that is acquiring a reservation; 0: none */
   guint64 last_number;
   gboolean has_members;
 
@@ -79,55 +79,55 @@
 const CoObject *en_core_service (const EnCore *core, const char *name);
 void en_core_index_workspaces (EnCore *core);
 
-/** Starts the work of an admitted request. */
+/** Starts an admitted request: makes its record first if it may run only once. */
 void en_core_begin (EnCore *core, EnRequest *request);
 
 /** dispatch.c: from the queue to an engine */
 void en_core_enqueue (EnCore *core, EnRequest *request);
 void en_core_wake_queue (EnCore *core);
 
-/** engine.c: gives back all that the request has at engines */
+/** engine.c: releases everything that the request uses at engines */
 void en_core_release_engine (EnCore *core, EnRequest *request);
 
-/** Engines that were kept free for the request are for all again. */
+/** Releases the engines that were kept free for the request. */
 void en_core_release_holds (EnCore *core, const EnRequest *request);
 
-/** Takes it out of the queue to be dispatched. */
+/** Takes the request out of the queue and marks it as dispatched. */
 void en_core_leave_queue (EnCore *core, EnRequest *request);
 
-/** Starts an attempt; `charge` is taken over, `imports` may be NULL. */
+/** Starts an attempt. Takes ownership of `charge`; `imports` may be NULL. */
 void en_core_start_attempt (EnCore *core,
                             EnRequest *request,
                             EnEndpoint *endpoint,
                             EnCharge *charge,
                             const char *imports);
 
-/** The attempt, or what prepared it, was lost: it is tried again or ends. */
-/** Whether the decision allows another attempt; a budgeted one is taken from the budget. */
+/** Whether `decision` allows another attempt; a budgeted one is deducted from the budget. */
 gboolean en_core_may_retry (EnCore *core, const EnRequest *request, PolRetry decision);
 
-/** Of each service, all retries of this entry together. */
+/** Bounds this entry's retries, for each service separately. */
 extern const PolBudgetRule en_retry_budget;
 
+/** The attempt, or the reservation that prepares it, was lost: retries or ends the request. */
 void en_core_take_loss (EnCore *core, EnRequest *request, const EnLoss *loss);
 
-/** Tells the estimates whether something waits in the request's lane. */
+/** Updates the estimates on whether requests wait in this request's lane. */
 void en_core_note_lane (EnCore *core, const EnRequest *request);
 
-/** Least time from the dispatch to the first token, by the best rate seen; 0: not known. */
+/** Shortest time from dispatch to the first token, at the fastest engine's rate; 0: unknown. */
 KnlTime en_core_service_time (EnCore *core, const EnRequest *request);
 
-/** reserve.c: prompts above one engine's memory */
+/** reserve.c: prompts that exceed one engine's memory */
 gboolean en_core_needs_reservation (EnCore *core, const EnRequest *request);
 
 typedef enum
 {
-  EN_RESERVE_STARTED,    /**< it has all and was dispatched */
-  EN_RESERVE_WAITS,      /**< for more */
-  EN_RESERVE_IMPOSSIBLE, /**< all engines together have not enough now */
+  EN_RESERVE_STARTED,    /**< acquired in full and dispatched */
+  EN_RESERVE_WAITS,      /**< for more memory, or until it may try again */
+  EN_RESERVE_IMPOSSIBLE, /**< all engines together don't have enough memory now */
 } EnReserve;
 
-/** Takes what it can. */
+/** Acquires as much of the request's reservation as is available now. */
 EnReserve en_core_reserve (EnCore *core, EnRequest *request);
 
 /** cache.c */
@@ -136,43 +136,43 @@
 void en_core_poll_next_cache (EnCore *core);
 void en_core_learn_prefix (EnEndpoint *endpoint, guint64 prefix);
 
-/** record.c: requests that run at most once */
+/** record.c: requests that may run at most once */
 void en_core_start_record (EnCore *core, EnRequest *request);
 
-/** Keeps a part of the answer for the record. */
+/** Appends a part of the answer to the text kept for the idempotency record. */
 void en_core_keep_answer (EnRequest *request, const char *text);
 
-/** Ends the request with its whole answer, once the outcome is recorded. */
+/** Ends the request with its complete answer, once the outcome is recorded. */
 void en_core_complete (EnCore *core, EnRequest *request, const EnAnswer *answer);
 
-/** Records how a request ended that did not complete. */
+/** Records the outcome of a request that ends, unless that has been done. */
 void en_core_close_record (EnCore *core, EnRequest *request, EnOutcome outcome);
 
-/** Starts the work of a request that may run now. */
+/** Queues the request for an engine, or calls its plain service. */
 void en_core_run (EnCore *core, EnRequest *request);
 
 /** crash.c */
 void en_core_report_crash (EnCore *core, EnEndpoint *endpoint, guint epoch, guint64 incarnation);
 void en_core_engine_restarted (EnEndpoint *endpoint, guint64 before, gpointer data);
 
-/** Ends a quarantined request (TRUE); notes whether a suspect must run alone. */
+/** Ends the request if it is quarantined (TRUE); else sets whether it must run alone. */
 gboolean en_core_refuse_quarantined (EnCore *core, EnRequest *request);
 
 /** plain.c */
 void en_core_start_plain (EnCore *core, EnRequest *request);
 
-/** finish.c: the only ways for a request to end */
+/** finish.c: every admitted request ends through one of these */
 void en_core_end_error (EnCore *core, EnRequest *request, const EnError *error);
 void en_core_end_done (EnCore *core, EnRequest *request, const EnAnswer *answer);
 void en_core_end_gone (EnCore *core, EnRequest *request);
 
-/** Sets the limit that ends the request, to fire after `delay`. */
+/** Ends the request with an error at the time `at`; replaces an earlier call's time. */
 void en_core_set_limit (EnCore *core, EnRequest *request, KnlTime at);
 
-/** Whether nothing of it can have run. */
+/** The outcome if the request ended now: NOT_RUN if nothing of it can have run, else UNKNOWN. */
 EnOutcome en_core_outcome_if_ended (const EnRequest *request);
 
-/** control.c: frames from the controller, and what is sent to it by the clock */
+/** control.c: frames from the controller, and periodic reports to it */
 void en_core_start_control (EnCore *core);
 void en_core_stop_control (EnCore *core);
 void en_core_ask_credits (EnCore *core);
--- a/entry/dispatch.c
+++ b/entry/dispatch.c
@@ -1,16 +1,16 @@
-/** Requests from the queue to an engine. */
+/** Dispatch of queued requests to engines. */
 
 #include "common/log.h"
 #include "entry/core_internal.h"
 
-/* How long a request that finds no room waits before an engine is kept free for it. */
+/* How long a request waits for free capacity before an engine is kept free for it. */
 #define HOLD_AFTER (200 * KNL_MSEC)
 
 /* How long a request waits while no engine of its service is usable. */
 #define NO_ENGINE_LIMIT (2 * KNL_SEC)
 
-/* The same while one is usable but has no holder to grant enough of it: the lease of a lost
- * holder and its grants have lapsed by then, and the next holder grants. */
+/* The same while a usable engine is large enough, but no holder of its shard grants enough of it.
+ * By then the lease and the grants of a lost holder have lapsed, and the next holder grants. */
 #define TAKE_OVER_LIMIT (15 * KNL_SEC)
 
 static EnRoute
@@ -58,7 +58,7 @@
     endpoint->pending_long += tokens;
 }
 
-/* What is sent there will soon be in its cache; its own events correct this later. */
+/* The engine's cache will soon hold this prompt; the engine's cache events correct it later. */
 static void
 learn_prefixes (EnEndpoint *endpoint, const EnRequest *request)
 {
@@ -126,9 +126,9 @@
 }
 
 /*
- * How long waiting can help. Without a holder an entry's share of every engine
- * may be too small for a prompt that another entry has room for, or that the
- * next holder will grant: callers would be refused each time a controller is lost.
+ * How long the request should wait for an engine. Without a holder, this entry's static share of
+ * every engine may be too small for a prompt that another entry has capacity for, or that the next
+ * holder will grant: refusing it at once would fail callers each time a controller is lost.
  */
 static KnlTime
 no_engine_limit (EnCore *core, const EnRequest *request)
@@ -152,7 +152,7 @@
   return limit;
 }
 
-/* Callers are told when no engine can take it, and do not wait for their limits. */
+/* Ends a request that no engine can run, so that its caller needn't wait for its time limit. */
 static gboolean
 end_without_engines (EnCore *core, EnRequest *request)
 {
@@ -220,7 +220,7 @@
     en_core_ask_credits (core);
 }
 
-/* Put off to the end of the current events, so that many of them lead to one run. */
+/* Deferred until the current events are handled, so that many of them cause a single run. */
 void
 en_core_wake_queue (EnCore *core)
 {
@@ -247,8 +247,8 @@
 }
 
 /*
- * A request whose prefill can't end within its limit any more is given up on
- * then, and not at its limit: its caller has that much more time for another try.
+ * The request is ended when its prefill can no longer finish before the deadline, rather than at
+ * the deadline: this leaves its caller time to retry elsewhere.
  */
 void
 en_core_enqueue (EnCore *core, EnRequest *request)
--- a/entry/estimate.c
+++ b/entry/estimate.c
@@ -4,7 +4,7 @@
 
 #define HALF_LIFE (5 * KNL_SEC)
 
-/* A rate measured over less busy time than this says nothing. */
+/* A rate measured over less busy time than this is unreliable. */
 #define MEASURED_AFTER (1 * KNL_SEC)
 
 struct EnEstimates
@@ -14,7 +14,7 @@
   GHashTable *lanes; /* "SERVICE/LANE" -> Lane */
 };
 
-/* Decayed sums over the time in which requests waited. */
+/* Exponentially decayed sums over the time during which requests waited. */
 typedef struct
 {
   double tokens;
@@ -85,8 +85,8 @@
 }
 
 /*
- * By its share a workspace waits only for its own requests with earlier deadlines,
- * however many others wait: a flood by one must not have another's requests refused.
+ * A workspace waits at most for its own requests with earlier deadlines, served at its share of the
+ * lane's rate: a flood by one workspace must not get another's requests refused.
  */
 KnlTime
 en_estimates_wait (EnEstimates *self,
--- a/entry/finish.c
+++ b/entry/finish.c
@@ -1,4 +1,4 @@
-/** The ways in which an admitted request ends, each exactly once. */
+/** The end of an admitted request, which happens exactly once. */
 
 #include "common/log.h"
 #include "entry/core_internal.h"
@@ -16,7 +16,7 @@
     g_hash_table_remove (core->in_flight, request->workspace);
 }
 
-/* What the request waited for when it ended: where it got no engine, that alone tells why. */
+/* The event before the end: for a request that got no engine, it tells what was awaited. */
 static const char *
 last_event (const EnRequest *request)
 {
@@ -40,7 +40,7 @@
           (now - request->received_at) / KNL_MSEC);
 }
 
-/* Gives back all that the request holds. Nothing that runs for it is left unwatched. */
+/* Releases all resources of the request; whatever still runs for it is cancelled. */
 static void
 release_all (EnCore *core, EnRequest *request)
 {
@@ -148,9 +148,8 @@
   if (request == NULL)
     return;
   /*
-   * What may run only once goes on without its caller, whose connection may
-   * just have been lost: asking again with the key then brings the answer
-   * instead of "outcome unknown".
+   * A request that may run only once continues without its caller, whose connection may just have
+   * been lost: a retry with the same key then gets the answer instead of "outcome unknown".
    */
   if (request->recorded)
     {
--- a/entry/history.c
+++ b/entry/history.c
@@ -27,7 +27,7 @@
   g_free (self);
 }
 
-/* Prompts are large and may be private: only what happened is kept. */
+/* Prompts are large and may be private, so only the events are kept. */
 static void
 drop_content (EnRequest *request)
 {
--- a/entry/plain.c
+++ b/entry/plain.c
@@ -1,4 +1,4 @@
-/** Calls to plain services: passed to one of their endpoints, and the answer passed back. */
+/** Calls to plain services: forwarded to one of the service's endpoints, the answer returned. */
 
 #include <string.h>
 
@@ -11,7 +11,7 @@
 #define RETRY_FIRST (20 * KNL_MSEC)
 #define RETRY_LIMIT (500 * KNL_MSEC)
 
-/* A call that nobody could take yet is offered again after this. */
+/* Delay before the next try of a call for which no endpoint is usable. */
 #define NO_ENDPOINT_DELAY (50 * KNL_MSEC)
 
 static void start_call (EnCore *core, EnRequest *request);
@@ -142,7 +142,7 @@
   en_core_complete (core, request, &answer);
 }
 
-/* A connection may have gone silent: what may be repeated is, with half of its time left. */
+/* A connection may go silent: an idempotent call is retried with half of the remaining time. */
 static KnlTime
 answer_limit (const EnRequest *request, KnlTime now)
 {
--- a/entry/progress.c
+++ b/entry/progress.c
@@ -42,7 +42,7 @@
   XXH3_64bits_update (progress->hash, text, length);
 }
 
-/* Compares at the point where the attempt has said as many bytes as the caller has. */
+/* Compares once the attempt has repeated as many bytes as the caller has. */
 static gboolean
 catches_up (EnReplay *replay, const EnProgress *progress, gsize beyond)
 {
--- a/entry/queue.c
+++ b/entry/queue.c
@@ -3,8 +3,8 @@
 #include <string.h>
 
 /*
- * Heads of one workspace offered in a round. One that finds no room must not
- * hold up smaller ones behind it; all of a long queue need not be tried each time.
+ * Requests of one workspace that are tried in a round. One that doesn't fit must not block smaller
+ * ones behind it, but trying all of a long queue each time would be wasteful.
  */
 #define HEADS 4
 
@@ -21,10 +21,10 @@
   char *service;
   char *workspace;
   EnLane lane;
-  GSequence *requests; /* EnRequest by deadline */
-  EnWaiting waiting;   /* their sums; `largest` is of all since it was empty */
-  double virtual_time; /* as of the current round */
-  gboolean blocked;    /* none of its heads found room in this round */
+  GSequence *requests; /* EnRequest, by deadline */
+  EnWaiting waiting;   /* sums; `largest` includes requests removed since it was last empty */
+  double virtual_time; /* at the current round */
+  gboolean blocked;    /* none of its requests tried in this round could be dispatched */
 } Flow;
 
 static void
@@ -146,7 +146,7 @@
     }
 }
 
-/* The flow to serve next: short before long, as they share engines; then by virtual time. */
+/* The flow to serve next: short before long lanes, as they share engines; then by virtual time. */
 static Flow *
 next_flow (EnQueue *self)
 {
--- a/entry/request.c
+++ b/entry/request.c
@@ -2,7 +2,7 @@
 
 #include "common/log.h"
 
-/* Beyond it no event is kept but the last. */
+/* Beyond this number, a new event replaces the last one. */
 #define EVENTS_MOST 64
 
 static const char *const state_names[] = {
--- a/entry/retry.c
+++ b/entry/retry.c
@@ -2,7 +2,7 @@
 
 #define RETRY_AFTER (1 * KNL_SEC)
 
-/* Attempts that ran nothing cost little; those that ran cost an engine's time each. */
+/* Attempts that ran nothing are cheap; each of the others may have cost an engine's time. */
 const PolRetryRule en_retry_rule = { .not_run_attempts = 8, .run_attempts = 3 };
 
 EnError
--- a/entry/router.c
+++ b/entry/router.c
@@ -6,14 +6,14 @@
 #include "coord/shard.h"
 #include "entry/length_class.h"
 
-/* Assumed until an engine's own rate has been seen, in tokens a second. */
+/* Assumed until an engine's rate has been measured, in tokens per second. */
 #define DEFAULT_PREFILL_RATE 20000.0
 
-/* Costs added to an estimate. */
+/* Penalties added to an estimate. */
 #define OTHER_ZONE_COST (2 * KNL_MSEC)
 #define FAILURE_COST    (200 * KNL_MSEC)
 
-/* Prefill that may wait at an engine in front of a short prompt. */
+/* Prefill time that may be queued at an engine ahead of a short prompt. */
 #define ENGINE_QUEUE_LIMIT (200 * KNL_MSEC)
 
 /*
@@ -97,8 +97,8 @@
 }
 
 /*
- * A report is late: what we sent after it is not in it. A short prompt goes
- * before long ones at the engine, so long prefill there is no wait for it.
+ * A report lags: it lacks what this entry sent after it. The engine runs short prompts before long
+ * ones, so pending long prefill doesn't delay a short prompt.
  */
 static guint64
 tokens_ahead (const EnRoute *route, const EnEndpoint *endpoint)
@@ -123,9 +123,8 @@
 }
 
 /*
- * What waits at an engine can't be reordered, refused or sent elsewhere any
- * more. Requests therefore wait here, and an engine gets the next one when what
- * it has to prefill is nearly done.
+ * Requests queued at an engine can no longer be reordered, refused or sent elsewhere. They
+ * therefore wait here, and an engine gets the next one when its pending prefill is nearly done.
  */
 static gboolean
 has_queue (const EnRoute *route, const EnEndpoint *endpoint)
@@ -177,7 +176,7 @@
   return self->klass->choose (self, route, self->candidates);
 }
 
-/* Whether the engine could take the request if nothing else ran there. */
+/* Whether the request would fit if nothing else ran on the engine. */
 static gboolean
 could_hold (const EnRoute *route, const EnEndpoint *endpoint)
 {
@@ -203,7 +202,7 @@
       if (best == NULL || endpoint->used_tokens < best->used_tokens)
         best = endpoint;
     }
-  /* The last engine is never kept from the others. */
+  /* The only usable engine stays available to other requests. */
   return usable > 1 ? best : NULL;
 }
 
@@ -235,7 +234,7 @@
   .choose = credits_choose,
 };
 
-/* Two engines at random and the better of them, by the report and our own work since. */
+/* The better of two random engines, by their reports and what was dispatched since. */
 static EnEndpoint *
 two_choices_choose (EnRouter *self, const EnRoute *route, const GPtrArray *candidates)
 {
@@ -254,7 +253,7 @@
   .ignores_credits = TRUE,
 };
 
-/* The baseline: the lowest reported use, as stale as it may be. */
+/* Baseline for comparisons: the lowest reported load, however stale the report is. */
 static EnEndpoint *
 lagged_choose (EnRouter *self, const EnRoute *route, const GPtrArray *candidates)
 {
--- a/entry/shares.c
+++ b/entry/shares.c
@@ -5,11 +5,11 @@
 #define HALF_LIFE   (10 * KNL_SEC)
 #define UPDATE_LIFE (3 * KNL_SEC)
 
-/* Use beyond this multiple of that of the third largest user is a flood; two may flood at once. */
+/* A flood is more than this multiple of the third largest user's requests; up to two may flood. */
 #define FLOOD_FACTOR 2.5
 #define FLOOD_RANK   2
 
-/* Requests by weight, with this half-life; below the least there is no flood. */
+/* Half-life of the request counts, and the count by weight below which there is no flood. */
 #define FLOOD_HALF_LIFE (20 * KNL_SEC)
 #define FLOOD_LEAST     20.0
 
@@ -24,11 +24,11 @@
   gint64 weight;
   double own; /* decayed up to `own_at` */
   KnlTime own_at;
-  double all;         /* over all entries, by the last update */
+  double all;         /* over all entries, from the last update */
   KnlTime all_at;     /* 0: no update yet */
   double requests;    /* dispatched here, decayed up to `own_at` */
   guint64 unreported; /* since the last report */
-  guint64 reported;   /* in reports that no update has answered yet */
+  guint64 reported;   /* in reports sent since the last update */
 } Row;
 
 EnShares *
--- a/entry/submit.c
+++ b/entry/submit.c
@@ -1,5 +1,5 @@
-/** From the reception of a request to its admission: who asks, for what, and whether it can be
- * served. */
+/** Admission of requests: authenticates the caller, checks the content and whether the request can
+ * be served in time. */
 
 #include <string.h>
 #include <xxhash.h>
@@ -8,23 +8,24 @@
 #include "common/prefix.h"
 #include "entry/core_internal.h"
 
-/* Asked for again when more would be refused: how long a full entry takes to have room. */
+/* Time after which an overloaded entry is likely to have capacity again. */
 #define BUSY_RETRY_AFTER (1 * KNL_SEC)
 
 /*
- * An engine's rate is known to be wrong by half at times, and a refusal can't be
- * taken back. A wait that turns out longer, though, is work for nothing.
+ * Weights of the two estimates that decide on a refusal. The measured rate of an engine can be off
+ * by half, and a refusal is final: the service time counts by half only. The wait is raised, as
+ * work on a request that then misses its limit is wasted.
  */
 #define SERVICE_TIME_PART 0.5
 #define WAIT_MARGIN       1.25
 
-/* Retries of a service at one entry: a tenth of its load, and some for a quiet one. */
+/* Retries of a service at one entry: a tenth of its load, plus a fixed number for low load. */
 const PolBudgetRule en_retry_budget = { .ratio = 0.1,
                                         .slack = 20,
                                         .window = 10 * KNL_SEC,
                                         .used_part = 1 };
 
-/* Prefix blocks looked up in engines' caches: the first million tokens. */
+/* Prefix blocks that are looked up in engines' caches; covers the first million tokens. */
 #define BLOCKS_MOST 256
 
 static void
@@ -75,7 +76,7 @@
   return FALSE;
 }
 
-/* One check of a submission; fills `error` and returns FALSE to refuse it. */
+/* Context of the checks of a submission. A check that refuses fills `error` and returns FALSE. */
 typedef struct
 {
   EnCore *core;
@@ -210,7 +211,7 @@
   return MIN (limit, check->core->settings.max_limit);
 }
 
-/* The memory of all engines that may take it, or 0 while one of them is not known. */
+/* Total memory of the engines that may run the request; 0 while any engine's size is unknown. */
 static guint64
 fleet_capacity (const Check *check)
 {
@@ -231,7 +232,7 @@
   return sum;
 }
 
-/* What can't be served in time is refused now, when its caller can still go elsewhere. */
+/* Refuses at once what can't be served in time, while the caller can still try another entry. */
 static gboolean
 check_time (Check *check)
 {
--- a/entry/subset.c
+++ b/entry/subset.c
@@ -2,7 +2,7 @@
 
 #include "coord/subset.h"
 
-/* Engines of one service and role that an entry uses at least, however many services there are. */
+/* Minimum of engines that an entry uses per service and role, however many services there are. */
 #define GROUP_LEAST 6
 
 static gboolean
--- a/include/entry/attempt.h
+++ b/include/entry/attempt.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * One attempt of a request at one engine, over as many connections as it takes.
+ * One attempt of a request at one engine, possibly over several connections.
  *
- * A connection that is cut or goes silent is replaced by a fresh one that
- * resumes from the last offset. Only when the engine has lost the request, or
- * can't be reached several times in a row, the attempt is lost.
+ * A connection that is cut or goes silent is replaced by a new one that resumes
+ * at the last offset. The attempt is lost only when the engine has lost the
+ * request, or when several consecutive connections to it fail.
  */
 
 #include "entry/cancels.h"
@@ -17,23 +17,23 @@
 typedef struct
 {
   PolLoss kind;
-  gboolean refused;  /**< by the engine's own word */
+  gboolean refused;  /**< the engine answered with a refusal */
   gboolean leaving;  /**< the engine takes no new work */
-  gboolean accepted; /**< the engine had taken it */
-  gboolean crashed;  /**< the engine restarted or can't be reached any more */
+  gboolean accepted; /**< the engine had accepted the request */
+  gboolean crashed;  /**< the engine restarted or can no longer be reached */
   const char *detail;
 } EnLoss;
 
 /**
- * on_end and on_lost are the last event; the attempt is freed after them. With
- * `hold` on_end says that the part is held, and the attempt lives on until it is
+ * on_end and on_lost are final: the attempt is freed after either. With `hold`,
+ * on_end means that the engine holds the part, and the attempt stays until it is
  * aborted or lost.
  */
 typedef struct
 {
-  /** The engine has taken the request. */
+  /** The engine has accepted the request. */
   void (*on_accepted) (EnAttempt *attempt, gpointer data);
-  /** Tokens that the caller lacks; the attempt may be aborted inside. */
+  /** Tokens that the caller doesn't have yet; the attempt may be aborted in this callback. */
   void (*on_tokens) (EnAttempt *attempt,
                      guint64 offset,
                      guint count,
@@ -43,7 +43,7 @@
   void (*on_lost) (EnAttempt *attempt, const EnLoss *loss, gpointer data);
 } EnAttemptEvents;
 
-/** What attempts work with; outlives them. */
+/** Dependencies of attempts, which outlive them. */
 typedef struct
 {
   KnlKernel *kernel;
@@ -64,10 +64,10 @@
   gboolean hold;
   const char *imports;
   KnlTime deadline;
-  EnProgress *progress; /**< what the caller has; outlives the attempt */
+  EnProgress *progress; /**< what the caller has received; outlives the attempt */
 } EnAttemptStart;
 
-/** Starts at `endpoint`; `charge` is taken over and returned when the engine's memory is free. */
+/** Starts at `endpoint`. Owns `charge`, which is returned when the engine's memory is free. */
 EnAttempt *en_attempt_new (const EnAttemptHost *host,
                            const EnEndpoint *endpoint,
                            EnCharge *charge,
@@ -75,10 +75,10 @@
                            const EnAttemptEvents *events,
                            gpointer data);
 
-/** Ends it without events: it is cancelled at the engine. Allowed inside its events. */
+/** Ends the attempt without events and cancels it at the engine. May be called in its events. */
 void en_attempt_abort (EnAttempt *attempt);
 
-/** The engine has restarted, as others learned: reports the loss without waiting for a limit. */
+/** The engine was seen to restart: reports the loss at once instead of after a timeout. */
 void en_attempt_engine_restarted (EnAttempt *attempt);
 
 const char *en_attempt_endpoint (const EnAttempt *attempt);
--- a/include/entry/core.h
+++ b/include/entry/core.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * The core of an entry: what becomes of each request from its reception to its
- * end. It does no I/O of its own; callers, endpoints and controllers are behind
+ * The core of an entry: handles each request from its reception to its end. It
+ * does no I/O itself; callers, endpoints and controllers are reached through
  * EnCaller, EpClient and EnUplink.
  */
 
@@ -23,18 +23,21 @@
   const char *instance;
   const char *zone;
   guint64 incarnation;
-  const char *router;     /**< way of choosing engines; NULL: "credits" */
-  guint64 max_in_flight;  /**< requests at this entry in all */
-  guint64 max_queued;     /**< of them waiting for an engine */
-  guint64 max_new_tokens; /**< most that a caller may ask for */
-  KnlTime max_limit;      /**< longest time limit that a caller may ask for */
-  KnlTime keep;           /**< how long callers may keep the answer to GET /v1/entries */
+  const char *router;     /**< strategy of en_router_new(); NULL: "credits" */
+  guint64 max_in_flight;  /**< limit on all requests at this entry */
+  guint64 max_queued;     /**< limit on requests that wait for an engine */
+  guint64 max_new_tokens; /**< largest max_tokens that a caller may ask for */
+  KnlTime max_limit;      /**< longer time limits of callers are reduced to it */
+  KnlTime keep;           /**< how long callers may cache the answer to GET /v1/entries */
 } EnCoreSettings;
 
-/** Called once when a drain is over: nothing runs and nothing is left to be told to anyone. */
+/**
+ * Called once when a drain is complete: nothing runs, and cancellations and outcomes have been
+ * acknowledged or given up on.
+ */
 typedef void (*EnDrainedFunc) (gpointer data);
 
-/** What a core works with; all of it outlives the core. `config` is empty at first. */
+/** Dependencies of a core, which must outlive it. `config` is empty at first. */
 typedef struct
 {
   KnlKernel *kernel;
@@ -45,34 +48,37 @@
 
 EnCore *en_core_new (const EnCoreParts *parts, const EnCoreSettings *settings);
 
-/** Drops all requests without a word to their callers. */
+/** Drops all requests without calling their callers. */
 void en_core_free (EnCore *core);
 
 /**
- * Takes a request. Returns its number, or 0 when it has ended already;
- * `caller` must live until its last call or en_core_caller_gone().
+ * Submits a request. Returns its number, or 0 if it has already ended. `caller`
+ * must stay valid until its `done` or `error` was called or en_core_caller_gone().
  */
 guint64 en_core_submit (EnCore *core, const EnSubmission *submission, EnCaller *caller);
 
-/** The caller has left; the request ends and its caller hears nothing more. */
+/**
+ * The caller has disconnected and is not called again. The request ends, unless its idempotency
+ * record is durable: it then runs on without a caller.
+ */
 void en_core_caller_gone (EnCore *core, guint64 number);
 
 /** Starts a graceful shutdown; a second call changes nothing. */
 void en_core_drain (EnCore *core, EnDrainedFunc drained, gpointer data);
 
-/** Whether some workspace has this token. */
+/** Whether the token belongs to a workspace. */
 gboolean en_core_knows_token (const EnCore *core, const char *token);
 
-/** Whether it has a configuration, knows members, and takes new requests. */
+/** Whether it has a configuration and a full list of members, and isn't draining. */
 gboolean en_core_is_ready (const EnCore *core);
 
 /** The answer to GET /v1/entries. */
 json_t *en_core_entries (const EnCore *core);
 
-/** Rows of the requests that have not ended, for operators. */
+/** A row for each request that hasn't ended, for operators. */
 json_t *en_core_requests (const EnCore *core);
 
-/** What happened to one request, also when it ended lately; NULL: not known. */
+/** The events of a running or recently ended request; NULL: unknown id. */
 json_t *en_core_request (const EnCore *core, const char *id);
 
 CmMetrics *en_core_metrics (EnCore *core);
--- a/include/entry/error.h
+++ b/include/entry/error.h
@@ -1,15 +1,15 @@
 #pragma once
 
-/** What callers are told when a request does not end well: code, outcome, when to try again. */
+/** Errors that callers get when a request fails: code, outcome and when to retry. */
 
 #include "kernel/kernel.h"
 
-/** What is known of a request's effect when it ends. */
+/** What is known about a request's effect when it ends. */
 typedef enum
 {
   EN_OUTCOME_NOT_RUN, /**< proven: no endpoint ran any of it */
   EN_OUTCOME_DONE,
-  EN_OUTCOME_FAILED, /**< it ran and failed, by the endpoint's word */
+  EN_OUTCOME_FAILED, /**< it ran, and the endpoint reported a failure */
   EN_OUTCOME_UNKNOWN,
 } EnOutcome;
 
@@ -36,7 +36,7 @@
   EnErrorCode code;
   EnOutcome outcome;
   const char *message;
-  KnlTime retry_after; /**< 0: a retry can't help, or not by waiting */
+  KnlTime retry_after; /**< 0: retrying can't help, or waiting makes no difference */
 } EnError;
 
 const char *en_outcome_name (EnOutcome outcome);
--- a/include/entry/estimate.h
+++ b/include/entry/estimate.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * Estimates of the time until a request's first token, by which what can't be
- * served in time is refused at once.
+ * Estimates of a request's wait in the queue, by which requests that can't be
+ * served in time are refused at once.
  *
- * They go by what was measured: how fast a lane's waiting prompts were served
- * while some waited. A lane without that measure counts as free.
+ * They use the measured rate at which a lane's prompts were served while some
+ * waited. A lane without such a measurement counts as free.
  */
 
 #include "entry/queue.h"
@@ -15,7 +15,7 @@
 EnEstimates *en_estimates_new (KnlKernel *kernel, EnQueue *queue);
 void en_estimates_free (EnEstimates *estimates);
 
-/** To be called whenever a lane's queue may have become empty or not. */
+/** To be called whenever a lane's queue may have become empty or non-empty. */
 void en_estimates_note_waiting (EnEstimates *estimates, const char *service, EnLane lane);
 
 /** A prompt of `prefill` tokens of this lane got its first token. */
--- a/include/entry/length_class.h
+++ b/include/entry/length_class.h
@@ -1,10 +1,10 @@
 #pragma once
 
-/** Classes of requests by the length of their prompts, in which times are measured and compared. */
+/** Classes of requests by prompt length; latencies are measured per class. */
 
 #include <glib.h>
 
-/** Estimated bytes of a token; engines count the same way (docs/ADAPTERS.md). */
+/** Estimated bytes per token; engines use the same estimate (docs/ADAPTERS.md). */
 #define EN_TOKEN_BYTES 4
 
 typedef enum
--- a/include/entry/progress.h
+++ b/include/entry/progress.h
@@ -1,27 +1,27 @@
 #pragma once
 
 /**
- * What a caller already has of its answer, and the check that another attempt
- * says the same before the answer goes on from it.
+ * How much of its answer a caller has received, and the check that another
+ * attempt repeats the same text before the answer continues with it.
  *
- * An engine that is lost in the middle of an answer leaves the caller with a
- * part. The same prompt gives the same text from any engine of the same model
- * and version, but that is verified here and not trusted: a caller must never
- * see two answers joined.
+ * When an engine is lost in the middle of an answer, the caller has received part
+ * of it. Any engine of the same model and version should give the same text for
+ * the same prompt, but this is verified here: a caller must never get parts of
+ * two different answers.
  */
 
 #include <glib.h>
 #include <xxhash.h>
 
-/** What the caller has. */
+/** The part of the answer that the caller has received. */
 typedef struct
 {
   guint64 tokens;
   guint64 bytes;
-  XXH3_state_t *hash; /**< of all its bytes */
+  XXH3_state_t *hash; /**< over all its bytes */
 } EnProgress;
 
-/** How far an attempt has repeated it. */
+/** How much of that part an attempt has repeated. */
 typedef struct
 {
   guint64 tokens;
@@ -33,14 +33,15 @@
 void en_progress_init (EnProgress *progress);
 void en_progress_clear (EnProgress *progress);
 
-/** Starts an attempt's replay from its first token. */
+/** Starts the replay of an attempt that begins at the first token. */
 void en_replay_init (EnReplay *replay);
 void en_replay_clear (EnReplay *replay);
 
 /**
- * Takes `count` tokens of an attempt and adds what is new to `progress`.
- * `fresh` is then the part of `text` that the caller lacks and `fresh_count`
- * its tokens (0: nothing new). FALSE: the text differs from what the caller has.
+ * Adds `count` tokens of an attempt and advances `progress` by the new ones.
+ * `fresh` is set to the part of `text` that the caller doesn't have yet and
+ * `fresh_count` to its tokens (0: none). FALSE: the text differs from what the
+ * caller has.
  */
 gboolean en_replay_take (EnReplay *replay,
                          EnProgress *progress,
--- a/include/entry/queue.h
+++ b/include/entry/queue.h
@@ -3,9 +3,9 @@
 /**
  * Requests that wait for an engine.
  *
- * Each service has two lanes, short and long prompts. A lane takes workspaces
- * in the order of their virtual time and, within one, requests by the earliest
- * deadline. Lanes never wait for each other.
+ * Each service has two lanes, one for short and one for long prompts. A lane
+ * serves workspaces by lowest virtual time and, within a workspace, requests by
+ * earliest deadline. A blocked lane doesn't block the other.
  */
 
 #include "entry/request.h"
@@ -20,21 +20,21 @@
   EN_LANES,
 } EnLane;
 
-/** Tries to dispatch; TRUE: it did and the request is no longer in the queue. */
+/** Tries to dispatch a request; TRUE: it was dispatched or ended, and has left the queue. */
 typedef gboolean (*EnQueueTry) (EnRequest *request, gpointer data);
 
-/** What waits in one lane of one service. */
+/** Sums over the requests that wait in one lane of one service. */
 typedef struct
 {
-  guint64 tokens;  /**< memory that they need */
-  guint64 prefill; /**< their prompt tokens */
-  guint64 largest; /**< need of the largest */
+  guint64 tokens;  /**< memory that the requests need */
+  guint64 prefill; /**< prompt tokens of the requests */
+  guint64 largest; /**< memory that the largest request needs */
   guint count;
 } EnWaiting;
 
 /**
- * What waits of one workspace in one lane before a deadline, and the part of the
- * lane that the workspace's weight gives it.
+ * Prompt tokens of one workspace that wait in a lane with deadlines up to a given
+ * one, and the fraction of the lane that the workspace's weight gives it.
  */
 typedef struct
 {
@@ -47,10 +47,10 @@
 
 void en_queue_push (EnQueue *queue, EnRequest *request);
 
-/** Takes it out; without effect when it does not wait. */
+/** Removes the request; no effect if it isn't queued. */
 void en_queue_remove (EnQueue *queue, EnRequest *request);
 
-/** Offers waiting requests in fair order until none can be dispatched. */
+/** Tries waiting requests in fair order until none can be dispatched. */
 void en_queue_run (EnQueue *queue, EnQueueTry try_dispatch, gpointer data);
 
 guint en_queue_length (const EnQueue *queue);
@@ -62,7 +62,7 @@
                             const char *workspace,
                             KnlTime deadline);
 
-/** Memory that the workspace's waiting requests need, in tokens. */
+/** Memory that the workspace's waiting requests need over all lanes, in tokens. */
 guint64 en_queue_workspace_tokens (const EnQueue *queue, const char *workspace);
 
 void en_queue_foreach (const EnQueue *queue,
--- a/include/entry/request.h
+++ b/include/entry/request.h
@@ -1,19 +1,22 @@
 #pragma once
 
-/** One request: what was asked for, its state, what happened to it. */
+/** One request: its content, state and events. */
 
 #include "entry/attempt.h"
 #include "entry/caller.h"
 #include "entry/length_class.h"
 #include "entry/records.h"
 
-/** The states in their order; each request passes them upwards only and ends once. */
+/**
+ * The states in order. A request only moves forward, except back to QUEUED for another attempt, and
+ * ends once.
+ */
 typedef enum
 {
   EN_STATE_RECEIVED,
   EN_STATE_AUTHENTICATED,
   EN_STATE_ADMITTED,
-  EN_STATE_RECORDING, /**< its idempotency record is being made */
+  EN_STATE_RECORDING, /**< its idempotency record is being created */
   EN_STATE_QUEUED,
   EN_STATE_DISPATCHED,
   EN_STATE_STREAMING,
@@ -23,17 +26,17 @@
 typedef struct
 {
   KnlTime at;
-  const char *event; /**< a constant */
+  const char *event; /**< a string constant */
   char *detail;      /**< or NULL */
 } EnRequestEvent;
 
-/** What a request needs of an engine. */
+/** What a request needs from an engine. */
 typedef struct
 {
   guint64 tokens;  /**< memory for the prompt and the answer */
   guint64 prefill; /**< prompt tokens */
   gboolean is_long;
-  gboolean alone; /**< a suspect: nothing may run beside it */
+  gboolean alone; /**< a suspect: nothing else may run on the engine */
 } EnNeed;
 
 typedef struct EnCore EnCore;
@@ -45,12 +48,12 @@
   guint64 number;
   char *id;
   EnState state;
-  EnCaller *caller; /**< NULL: it has left */
+  EnCaller *caller; /**< NULL: disconnected */
   char *workspace;
   char *service;
   char *model; /**< NULL: a call to a plain service */
   char *adapter;
-  char *label; /**< of the service's endpoints */
+  char *label; /**< label of the service's endpoints */
   GBytes *prompt;
   guint64 max_tokens;
   EnLengthClass length_class;
@@ -61,7 +64,7 @@
   GBytes *body;
   gboolean non_idempotent;
   char *key;
-  guint64 fingerprint; /**< of the service and the content */
+  guint64 fingerprint; /**< hash of the service and the content */
   guint64 *blocks;     /**< hashes of its prefix blocks */
   gsize n_blocks;
 
@@ -74,27 +77,27 @@
   KnlTimerId retry_timer;
 
   guint attempts;
-  guint costly;             /**< attempts that may have cost an endpoint's time */
-  gboolean may_have_run;    /**< some attempt may have */
+  guint costly;             /**< number of attempts that may have cost an endpoint's time */
+  gboolean may_have_run;    /**< at least one attempt may have run */
   gboolean recorded;        /**< its idempotency record is durable */
-  gboolean record_closed;   /**< its outcome has been sent to be recorded */
-  EnRecordCall record_call; /**< begin or finish under way */
+  gboolean record_closed;   /**< its outcome has been sent for recording */
+  EnRecordCall record_call; /**< begin or finish in progress; 0: none */
   EnAnswer kept;            /**< the answer, while its outcome is being recorded */
   EnAttempt *attempt;
-  GSequenceIter *place; /**< in the queue; NULL: it does not wait */
+  GSequenceIter *place; /**< position in the queue; NULL: not queued */
   EnReservation *reservation;
-  gboolean reservation_started; /**< its parts may be on engines */
+  gboolean reservation_started; /**< engines may hold its parts */
   guint reserve_tries;
-  KnlTime patience;        /**< with the reservation being acquired */
-  KnlTime reserve_after;   /**< not before this again */
-  EpCallId call;           /**< to a plain service */
+  KnlTime patience;        /**< how long the reservation may take to be acquired */
+  KnlTime reserve_after;   /**< earliest time of the next try to reserve */
+  EpCallId call;           /**< call to a plain service; 0: none */
   EnCharge *charge;        /**< of that call */
-  char *endpoint;          /**< in use, or last used */
-  guint64 pending_prefill; /**< counted at `endpoint` until the first token */
-  guint64 prefill_ahead;   /**< that our other requests had there when it was dispatched */
-  guint pending_epoch;     /**< the endpoint's epoch then */
+  char *endpoint;          /**< the endpoint in use, or the last one used */
+  guint64 pending_prefill; /**< prompt tokens counted at `endpoint` until the first token */
+  guint64 prefill_ahead;   /**< those of this entry's other requests there at its dispatch */
+  guint pending_epoch;     /**< the endpoint's epoch at its dispatch */
   EnProgress progress;
-  GString *answer; /**< kept for the idempotency record; NULL: not, or too large */
+  GString *answer; /**< text for the idempotency record; NULL: none */
   GArray *events;  /**< EnRequestEvent */
 } EnRequest;
 
@@ -103,9 +106,9 @@
 EnRequest *en_request_new (EnCore *core, guint64 number, const char *id, KnlTime now);
 void en_request_free (EnRequest *request);
 
-/** Moves on to a later state. Going back is only QUEUED after a failed attempt. */
+/** Moves to a later state, or back to QUEUED after a failed attempt. */
 void en_request_set_state (EnRequest *request, EnState state);
 
-/** Adds to what happened; only the first and last few of very many are kept. */
+/** Adds an event. At the limit of kept events, it replaces the last one. */
 void en_request_note (EnRequest *request, KnlTime now, const char *event, const char *format, ...)
     G_GNUC_PRINTF (4, 5);
--- a/include/entry/router.h
+++ b/include/entry/router.h
@@ -1,22 +1,22 @@
 #pragma once
 
 /**
- * Chooses an engine for a request. The ways differ in what they go by, so
- * that they can be compared side by side; "credits" is the one in use.
+ * Chooses an engine for a request. There are several strategies, so that they can
+ * be compared; "credits" is the default.
  */
 
 #include "entry/credits.h"
 
 typedef struct EnRouter EnRouter;
 
-/** What a choice depends on. */
+/** The request's side of a choice. */
 typedef struct
 {
-  const char *label; /**< of the service's endpoints */
+  const char *label; /**< label of the service's endpoints */
   const char *service;
-  const char *zone; /**< the entry's own */
+  const char *zone; /**< the entry's own zone */
   EnNeed need;
-  guint64 number; /**< of the request, which may have an engine held for it */
+  guint64 number; /**< number of the request, for which an engine may be kept free */
   const guint64 *blocks;
   gsize n_blocks;
   KnlTime now;
@@ -25,7 +25,7 @@
 typedef struct
 {
   const char *name;
-  /** The best of `candidates` (EnEndpoint, at least one, all with room); never NULL. */
+  /** The best of `candidates` (EnEndpoint, at least one, all eligible); never NULL. */
   EnEndpoint *(*choose) (EnRouter *router, const EnRoute *route, const GPtrArray *candidates);
   /** Whether an engine without credits may be a candidate. */
   gboolean ignores_credits;
@@ -40,29 +40,29 @@
   GPtrArray *candidates; /* scratch */
 };
 
-/** A router of the way `name`: "credits", "two-choices" or "lagged"; NULL: there is none such. */
+/** A router with the strategy "credits", "two-choices" or "lagged"; NULL: unknown name. */
 EnRouter *en_router_new (const char *name, KnlKernel *kernel, EnFleet *fleet, EnCredits *credits);
 
-/** Whether there is a way of that name. */
+/** Whether there is a strategy of that name. */
 gboolean en_router_exists (const char *name);
 
 void en_router_free (EnRouter *router);
 
-/** An engine for the request now, or NULL when none has room. */
+/** An engine that can run the request now; NULL: none has the capacity. */
 EnEndpoint *en_router_choose (EnRouter *router, const EnRoute *route);
 
 /**
- * The engine to keep free for a request that found no room, because smaller
- * ones take each bit of memory that comes back; NULL when there is no engine
- * that it could ever have alone.
+ * The engine to keep free for a request that doesn't fit anywhere, because smaller requests take
+ * all memory that is returned. NULL: fewer than two engines could run it alone and aren't kept for
+ * others.
  */
 EnEndpoint *en_router_choose_to_hold (EnRouter *router, const EnRoute *route);
 
 /**
- * The engines for long prompts of a service that are usable now, in this
- * entry's own order (rendezvous hashing), begun at place `first`. Entries that
- * ask for whole engines begin with different ones; if all began with the same,
- * each would be granted a part that is too small for any of them. Free the array.
+ * The engines for long prompts of a service that are usable now, in this entry's
+ * own order (rendezvous hashing), rotated to begin at index `first`. Entries that
+ * request most of an engine thus begin with different ones; if all began with the
+ * same, each would be granted a part too small to use. Free the array.
  */
 GPtrArray *en_router_long_engines (EnRouter *router,
                                    const char *label,
@@ -70,8 +70,8 @@
                                    const char *instance,
                                    guint first);
 
-/** Tokens of the prompt that the engine's cache should hold. */
+/** Tokens of the prompt that the engine's prefix cache is expected to hold. */
 guint64 en_route_cached_tokens (const EnRoute *route, const EnEndpoint *endpoint);
 
-/** Estimated wait for the first token there, from its last report and our work since. */
+/** Estimated wait for the first token there, by its last report and what was dispatched since. */
 KnlTime en_route_estimate (const EnRoute *route, const EnEndpoint *endpoint);
--- a/include/entry/shares.h
+++ b/include/entry/shares.h
@@ -1,12 +1,12 @@
 #pragma once
 
 /**
- * How much each workspace has used of the fleet, against its weight.
+ * Each workspace's use of the fleet, relative to its weight.
  *
- * Fairness holds over all entries together: the controllers add up what every
- * entry reports and send back the sums. Between updates, and without them, the
- * entry's own count stands in. Use decays, so that an idle workspace saves up
- * at most a few seconds' worth of precedence.
+ * Fairness holds across all entries: the controllers add up the reports of every
+ * entry and send back the sums. Between updates the entry adds its own count to
+ * them; without recent updates it uses its own count alone. Use decays, so that an
+ * idle workspace gains at most a few seconds of precedence.
  */
 
 #include "kernel/kernel.h"
@@ -21,19 +21,20 @@
 
 gint64 en_shares_weight (EnShares *shares, const char *workspace);
 
-/** Notes that `tokens` of work were dispatched for it. */
+/** Counts a dispatched request of `tokens` tokens. */
 void en_shares_served (EnShares *shares, const char *workspace, guint64 tokens);
 
-/** Use divided by weight: the workspace with the lowest goes first. */
+/** Use divided by weight; the workspace with the lowest goes first. */
 double en_shares_virtual_time (EnShares *shares, const char *workspace);
 
 /**
- * Whether the workspace uses far more, by weight, than all but a few others: its
- * requests then go behind theirs at the engines, where the queue here has no say.
+ * Whether the workspace sends far more requests, by weight, than all but a few
+ * others. Its requests then get a lower priority at the engines, where this
+ * entry's queue has no influence on the order.
  */
 gboolean en_shares_floods (EnShares *shares, const char *workspace);
 
 void en_shares_apply (EnShares *shares, const Alderturn__ShareUpdate *update);
 
-/** Tokens served since the last call, which it resets; for the next report. */
+/** Tokens dispatched since the last call, for the next report; resets the count. */
 guint64 en_shares_take_unreported (EnShares *shares, const char *workspace);
--- a/include/entry/subset.h
+++ b/include/entry/subset.h
@@ -1,12 +1,13 @@
 #pragma once
 
-/** Which of many engines this entry uses; see coord/subset.h. */
+/** Chooses the engines that this entry uses when there are many; see coord/subset.h. */
 
 #include "entry/fleet.h"
 
 /**
- * Sets `other_subset` of each EnEndpoint of `endpoints`, which are placed. Each service's engines
- * for short and for long prompts are chosen apart, so that the entry can serve all of them.
+ * Sets `other_subset` of each EnEndpoint of `endpoints`, whose placement must be
+ * known. The engines of each service and role are chosen separately, so that the
+ * entry can serve short and long prompts of all services.
  */
 void en_subset_update (const GPtrArray *endpoints,
                        const GPtrArray *entries,
