--- a/tests/unit/en_core_test.c
+++ b/tests/unit/en_core_test.c
@@ -1,4 +1,4 @@
-/** An entry's core as callers, operators and controllers meet it. */
+/** The entry core's behaviour towards callers, operators and controllers. */
 
 #include "suite.h"
 #include "tests/unit/en_fixture.h"
@@ -68,9 +68,9 @@
 }
 
 /*
- * Symptom: an engine that is leaving still gets new requests after seconds.
- * Sequence: it says so itself, the members say so, or an operator drains it.
- * Cause: only one of the three is looked at. What it already runs goes on.
+ * Guards against an engine that is leaving getting new requests. It may advertise this itself, the
+ * member list may say so, or an operator may drain it; all three must be checked. Requests that it
+ * already runs continue.
  */
 static void
 test_a_leaving_engine_gets_no_new_work (void)
@@ -83,7 +83,7 @@
       en_fixture_ask (fixture, &fixture->caller, "running", 100, LIMIT);
       while (fixture->caller.tokens == 0)
         en_fixture_advance (fixture, 10 * KNL_MSEC);
-      /* The others have more to do, so that the leaving one would be chosen. */
+      /* The other engines are busier, so that the leaving one would be chosen. */
       for (guint i = 0; i < 2; i++)
         {
           callers[i] = en_test_caller_make (fixture->kernel);
@@ -123,9 +123,9 @@
 }
 
 /*
- * Symptom: callers that use the list as told meet an entry that is gone.
- * Sequence: the entry is told to stop while it streams and while lists with it are valid.
- * Cause: it refuses, or ends, before those lists have expired and its work is done.
+ * Guards against callers with a valid list of entries reaching one that has stopped. The entry is
+ * drained while it streams and while cached lists still contain it; it must not refuse requests
+ * before those lists have expired, nor stop before its work is done.
  */
 static void
 test_drain_cuts_off_nothing (void)
@@ -168,7 +168,7 @@
   return count;
 }
 
-/* An operator drains the entry and takes that back, before and after it refuses. */
+/* An operator drains the entry and cancels the drain, before and after it refuses requests. */
 static void
 test_declared_drain (void)
 {
@@ -194,9 +194,9 @@
 }
 
 /*
- * Symptom: prompts above one engine's memory fail, or leave memory taken on some engines.
- * Sequence: all goes well; an engine dies while parts are held; the caller leaves then.
- * Cause: parts are not cancelled on every way out.
+ * Guards against prompts that exceed one engine's memory failing, or leaving memory in use on some
+ * engines. Cases: no fault, an engine crashes while parts are held, the caller disconnects then.
+ * The parts must be cancelled on every path.
  */
 static void
 test_prompts_above_one_engine (void)
@@ -233,16 +233,16 @@
 }
 
 /*
- * Symptom: a prompt over 100,000 tokens ends by its limit, without a token and without an engine.
- * Sequence: it comes while a second engine is new, or has no grant: a part of the first is enough.
- * Cause: a reservation of one part waits until others are held, and there are none.
+ * Guards against a prompt over 100,000 tokens timing out without an engine. It arrives while the
+ * second engine is new or has no grant, and a part of the first engine is enough. The fault: a
+ * reservation of a single part waited for other parts to be held, and there were none.
  */
 static void
 test_prompts_that_part_of_an_engine_can_hold (void)
 {
   static const struct
   {
-    const char *second; /* engine beside the first one of 400,000 tokens */
+    const char *second; /* engine besides the first one of 400,000 tokens */
     gsize tokens;
   } rows[] = {
     { NULL, 150000 },   { "engine-2", 150000 }, { "engine-2", 350000 },
@@ -271,9 +271,8 @@
 }
 
 /*
- * Symptom: in a long outage nothing is served.
- * Sequence: no controller answers for ten minutes; short and long prompts come.
- * Cause: without grants the entry has no credits.
+ * Guards against an entry serving nothing in a long outage. No controller answers for ten minutes
+ * while short and long prompts arrive; without grants the entry must use its static shares.
  */
 static void
 test_outage_of_all_controllers (void)
@@ -298,9 +297,9 @@
 }
 
 /*
- * Symptom: under overload every caller waits for its limit and few are served.
- * Sequence: three times more comes than the engines can do, with a limit of 5 s.
- * Cause: what can't be served in time is queued all the same.
+ * Guards against callers waiting for their whole time limit under overload while few are served.
+ * Three times the load that the engines can serve arrives, with a limit of 5 s; requests that can't
+ * be served in time must be refused and not queued.
  */
 static void
 test_overload_is_refused_at_once (void)
@@ -320,7 +319,7 @@
   for (guint i = 0; i < SECONDS * EACH; i++)
     {
       callers[i] = en_test_caller_make (fixture->kernel);
-      /* No two prompts begin alike, so that no cache helps. */
+      /* Each prompt begins differently, so that no prefix cache helps. */
       g_snprintf (prompt, 8, "%07u", i);
       prompt[7] = ' ';
       en_fixture_ask (fixture, &callers[i], prompt, 5, 5 * KNL_SEC);
@@ -345,7 +344,7 @@
   g_free (callers);
 }
 
-/* What operators see of one request while it runs and after its end. */
+/* What operators see of a request while it runs and after its end. */
 static void
 test_views (void)
 {
--- a/tests/unit/en_faults_test.c
+++ b/tests/unit/en_faults_test.c
@@ -1,4 +1,4 @@
-/** An entry's requests when engines and the connections to them fail, at each phase. */
+/** Failures of engines and of connections to them, in each phase of a request. */
 
 #include <string.h>
 
@@ -9,7 +9,7 @@
 #define TOKENS 40
 #define LIMIT  (60 * KNL_SEC)
 
-/* What callers may wait beyond their limit: nothing, on a clock that tests move. */
+/* How long callers may wait beyond their limit: no time at all on a paused clock. */
 #define MARGIN 0
 
 typedef struct
@@ -19,14 +19,14 @@
   guint frames;
   guint count;
   SdEngineFault engine;
-  gboolean ran_once; /* the same engine goes on; no other begins it again */
+  gboolean ran_once; /* the same engine continues; the request runs only once */
 } FaultCase;
 
 /*
- * Symptom: a caller waits for good, gets half an answer, or another's.
- * Sequence: the connection to the engine is refused, cut or silent at a phase of the
- * request, or the engine's frames are late, doubled, another's, or too few.
- * Cause: the connection is believed, or a resumed stream is joined without a check.
+ * Guards against a caller waiting indefinitely, or getting a partial or another request's answer.
+ * The connection to the engine is refused, cut or silent in some phase of the request, or the
+ * engine's frames are late, duplicated, another request's, or too few. The fault: trusting the
+ * connection, or resuming a stream without checking its text.
  */
 static const FaultCase fault_cases[] = {
   { "refused", FK_CONNECTION_REFUSED, 0, 1, SD_FAULT_NONE, TRUE },
@@ -93,9 +93,9 @@
 } EngineLoss;
 
 /*
- * Symptom: a caller that has half of its answer gets the rest of another one, or none.
- * Sequence: the engine dies, restarts or is stopped while it streams.
- * Cause: the answer is begun again elsewhere without a look at what the caller has.
+ * Guards against a caller with part of its answer getting the rest of a different one, or none. The
+ * engine crashes, restarts or freezes while it streams; the answer must be repeated elsewhere and
+ * compared with what the caller already has.
  */
 static void
 test_engine_lost_in_the_stream (void)
@@ -141,9 +141,9 @@
 } LimitCase;
 
 /*
- * Symptom: a caller waits past its limit, or is told "not run" of what an engine has.
- * Sequence: every engine fails the same way for good.
- * Cause: the end depends on an engine's answer and not on a timer of the entry.
+ * Guards against a caller waiting past its limit, or getting "not run" for a request that an engine
+ * has. Every engine fails permanently in the same way; the end of the request must depend on the
+ * entry's timer, not on an engine's answer.
  */
 static const LimitCase limit_cases[] = {
   { "all frozen", FK_CONNECTION_NORMAL, 0, TRUE, EN_ERROR_TIMEOUT, EN_OUTCOME_UNKNOWN },
@@ -200,9 +200,9 @@
 }
 
 /*
- * Symptom: an engine's memory stays taken by a request that nobody waits for.
- * Sequence: the caller leaves, or reads too slowly; the first cancels are lost.
- * Cause: a cancel is sent once and believed.
+ * Guards against an engine's memory staying in use by a request without a caller. The caller
+ * disconnects or reads too slowly, and the first cancels are lost; a cancel must be repeated until
+ * it is acknowledged.
  */
 static void
 test_lost_cancels (void)
@@ -230,9 +230,9 @@
 }
 
 /*
- * Symptom: an entry never ends its drain, and counts memory of an engine that is no more.
- * Sequence: an engine dies with a request whose caller has left, and is replaced.
- * Cause: its cancel is repeated for good.
+ * Guards against an entry that never completes its drain and counts memory of a removed engine as
+ * used. An engine crashes with a request whose caller has disconnected, and doesn't come back; its
+ * cancel must not be repeated indefinitely.
  */
 static void
 test_cancels_to_an_engine_that_is_gone (void)
@@ -258,8 +258,8 @@
 }
 
 static const SuiteCase cases[] = {
-  { "an answer is whole and the caller's own whatever a connection does", test_faults },
-  { "an engine lost in the stream is replaced without a seam", test_engine_lost_in_the_stream },
+  { "an answer is complete and the caller's own despite connection faults", test_faults },
+  { "a stream continues correctly after its engine is lost", test_engine_lost_in_the_stream },
   { "no caller waits past its limit", test_limits },
   { "memory comes back when cancels are lost", test_lost_cancels },
   { "cancels to an engine that is gone end", test_cancels_to_an_engine_that_is_gone },
--- a/tests/unit/en_fixture.h
+++ b/tests/unit/en_fixture.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * An entry's core on a paused clock: engines and a plain service in memory, a
- * controller that the test scripts, and callers that keep what they are told.
+ * An entry's core on a paused clock, with engines and a plain service in memory, a
+ * controller scripted by the test, and callers that record what they receive.
  */
 
 #include "entry/core.h"
@@ -27,7 +27,7 @@
   KnlTime ended_at;
   KnlTime first_at;
   int status;
-  gboolean refuses_tokens; /**< as a caller that does not read */
+  gboolean refuses_tokens; /**< like a caller that doesn't read */
 } EnTestCaller;
 
 typedef struct
@@ -40,29 +40,29 @@
   EnTestUplink uplink;
   CoConfig *config;
   EnCore *core;
-  EnTestCaller caller; /**< a first one; more by en_test_caller_make() */
+  EnTestCaller caller; /**< the first caller; en_test_caller_make() makes more */
 } EnFixture;
 
-/** With `settings` NULL the engines are of the defaults. Credits are granted from the start. */
+/** `settings` NULL: engines with default settings. Credits are granted from the start. */
 EnFixture *en_fixture_new (const SdEngineSettings *settings);
 void en_fixture_free (EnFixture *fixture);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (EnFixture, en_fixture_free)
 
-/** Sets or (fields NULL) removes an object. */
+/** Sets a configuration object, or removes it if `fields` is NULL. */
 void en_fixture_set (EnFixture *fixture, const char *kind, const char *name, const char *fields);
 
 void en_fixture_advance (EnFixture *fixture, KnlTime delta);
 
-/** Advances until the caller's request has ended, at most `limit`. */
+/** Advances until the caller's request has ended; FALSE: not within `limit`. */
 gboolean en_fixture_wait (EnFixture *fixture, EnTestCaller *caller, KnlTime limit);
 
-/** Address of engine `index` (0 to 2), whose name is "engine-N" from 1. */
+/** Address of engine `index` (0 to 2), which is named "engine-1" to "engine-3". */
 const char *en_fixture_engine (guint index);
 
-/** The engine that a request is on, by its accounts; -1: none. */
+/** Index of the first engine that the entry counts as used; -1: none. */
 int en_fixture_busy_engine (EnFixture *fixture);
 
-/** A member update for one endpoint in this state. */
+/** Sends a member update for one endpoint or entry. */
 void en_fixture_member (EnFixture *fixture,
                         const char *name,
                         Alderturn__MemberKind kind,
@@ -73,18 +73,18 @@
 void en_test_caller_clear (EnTestCaller *caller);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (EnTestCaller, en_test_caller_clear)
 
-/** A completion of service "chat" for workspace "w1". */
+/** Submits a completion to service "chat" for workspace "w1". */
 guint64 en_fixture_ask (EnFixture *fixture,
                         EnTestCaller *caller,
                         const char *prompt,
                         guint64 max_tokens,
                         KnlTime limit);
 
-/** TRUE when the caller has the whole right answer of `count` tokens to `prompt`. */
+/** TRUE if the caller has the complete, correct answer of `count` tokens to `prompt`. */
 gboolean en_test_caller_has (const EnTestCaller *caller, const char *prompt, guint64 count);
 
-/** How often engines began to run something, in all. */
+/** Number of runs that all engines have started. */
 guint en_fixture_runs (EnFixture *fixture);
 
-/** Memory taken on all engines, by their own truth, plus what the entry counts as used. */
+/** Memory in use on all engines, by their own state, plus what the entry counts as used there. */
 guint64 en_fixture_taken (EnFixture *fixture);
--- a/tests/unit/en_once_test.c
+++ b/tests/unit/en_once_test.c
@@ -1,4 +1,4 @@
-/** Requests that run at most once, and requests that kill engines. */
+/** Requests that may run at most once, and requests that crash engines. */
 
 #include <string.h>
 
@@ -45,9 +45,9 @@
 } VerdictCase;
 
 /*
- * Symptom: an order is pressed twice, or one that never ran is reported as run.
- * Sequence: a request comes whose key has a record, or no record can be made.
- * Cause: the endpoint is contacted before or without the record's verdict.
+ * Guards against a request running twice, or one that never ran being reported as run. Its key
+ * already has a record, or no record can be made; the endpoint must not be contacted before the
+ * record's verdict.
  */
 static const VerdictCase verdict_cases[] = {
   { "run", ALDERTURN__IDEM_VERDICT__IDEM_VERDICT_RUN, FALSE, TRUE, 0, EN_OUTCOME_DONE, 1 },
@@ -84,7 +84,7 @@
       CU_ASSERT_EQUAL (fixture->caller.outcome, c->outcome);
       en_fixture_advance (fixture, 5 * KNL_SEC);
       CU_ASSERT_EQUAL (runs_of (fixture, "k"), c->runs);
-      /* An attempt that may have been recorded is told to have not run, so the key is free. */
+      /* An attempt that may have been recorded is reported as not run, which frees the key. */
       CU_ASSERT_EQUAL (fixture->uplink.finishes, (guint)(c->runs == 1 || c->ignores_begin));
       CU_ASSERT_TRUE (!c->ignores_begin
                       || fixture->uplink.last_state == ALDERTURN__IDEM_STATE__IDEM_STATE_NOT_RUN);
@@ -102,9 +102,9 @@
 } EndpointCase;
 
 /*
- * Symptom: a closure is confirmed twice with the police desk.
- * Sequence: the connection is refused or cut, before or after the service ran the call.
- * Cause: a call whose outcome is unknown is repeated, or its record says "not run".
+ * Guards against a non-idempotent call running twice. The connection is refused or cut before or
+ * after the service ran the call; a call with an unknown outcome must not be repeated, and its
+ * record must not say "not run".
  */
 static const EndpointCase endpoint_cases[] = {
   { "refused once", FK_CONNECTION_REFUSED, SD_SERVICE_NORMAL,
@@ -141,9 +141,9 @@
 }
 
 /*
- * Symptom: a crew asks again and is told "outcome unknown" of what ran well.
- * Sequence: the caller's connection is lost while the call runs.
- * Cause: the call is given up on with its caller, and its record ends as unknown.
+ * Guards against a retry getting "outcome unknown" for a call that succeeded. The caller's
+ * connection is lost while the call runs; the call must continue without its caller, or its record
+ * would end as unknown.
  */
 static void
 test_recorded_request_outlives_its_caller (void)
@@ -162,9 +162,9 @@
 }
 
 /*
- * Symptom: the caller of a request that ran hears nothing, or hears "not run".
- * Sequence: the holder of the key's shard is gone when the outcome is to be recorded.
- * Cause: the answer waits for the record without a limit.
+ * Guards against the caller of a request that ran getting no answer, or "not run". The holder of
+ * the key's shard is down when the outcome is to be recorded; the answer must wait for the record
+ * only for a limited time.
  */
 static void
 test_an_answer_does_not_wait_for_good_for_its_record (void)
@@ -182,7 +182,7 @@
   CU_ASSERT_EQUAL (runs_of (fixture, "k"), 1);
 }
 
-/* A stream that may run once is kept whole with its record and given again from it. */
+/* The complete answer of a stream that may run once is stored with its record and replayed. */
 static void
 test_a_stream_is_kept_and_given_again (void)
 {
@@ -212,9 +212,8 @@
 }
 
 /*
- * Symptom: a fault that hits every call multiplies the load, and keeps it up.
- * Sequence: a service runs each call and closes the connection without an answer.
- * Cause: every call is tried again as often as it may be.
+ * Guards against retries that multiply the load when a fault hits every call. A service runs each
+ * call and closes the connection without an answer; retries must stay within the service's budget.
  */
 static void
 test_retries_keep_to_their_budget (void)
@@ -240,7 +239,7 @@
           en_core_submit (fixture->core, &submission, &callers[i].base);
         }
       en_fixture_advance (fixture, KNL_SEC / 30);
-      /* As if there were always another endpoint that has not failed yet. */
+      /* Simulates that there is always another endpoint that hasn't failed yet. */
       en_endpoint_worked (en_fleet_find (en_core_fleet (fixture->core), "app-1"));
     }
   en_fixture_advance (fixture, LIMIT);
@@ -272,9 +271,9 @@
 }
 
 /*
- * Symptom: one prompt takes down the whole fleet, and those beside it fail.
- * Sequence: it kills the engine, is tried on the next one, and its caller sends it again.
- * Cause: a lost engine is taken for the engine's fault only.
+ * Guards against one prompt crashing the whole fleet and failing the requests that run with it. It
+ * crashes its engine, is retried on the next ones, and its caller submits it again; the crashes
+ * must be attributed to the prompt.
  */
 static void
 test_a_killing_request_is_quarantined (void)
@@ -312,11 +311,11 @@
   { "a record's verdict decides before the endpoint is contacted", test_verdicts },
   { "a call runs once whatever its endpoint does", test_endpoint_outcomes },
   { "a recorded request outlives its caller", test_recorded_request_outlives_its_caller },
-  { "an answer does not wait for good for its record",
+  { "an answer waits for its record for a limited time",
     test_an_answer_does_not_wait_for_good_for_its_record },
-  { "a stream is kept and given again", test_a_stream_is_kept_and_given_again },
+  { "a stream's answer is stored and replayed", test_a_stream_is_kept_and_given_again },
   { "retries keep to their budget", test_retries_keep_to_their_budget },
-  { "a killing request is quarantined and those beside it are answered",
+  { "a crashing request is quarantined and concurrent ones are answered",
     test_a_killing_request_is_quarantined },
 };
 
--- a/tests/unit/en_policy_test.c
+++ b/tests/unit/en_policy_test.c
@@ -1,4 +1,4 @@
-/** The decisions by themselves: fair order, credits, choice of engines. */
+/** Unit tests of the policies: fair order, credits, choice of engines. */
 
 #include <string.h>
 
@@ -86,10 +86,10 @@
 typedef struct
 {
   Policy *policy;
-  guint64 room;     /* tokens that may still be dispatched */
-  guint64 most;     /* of one request */
+  guint64 room;     /* tokens of free capacity */
+  guint64 most;     /* limit for one request */
   GString *order;   /* first letter of each workspace dispatched */
-  gboolean no_long; /* no room for long ones */
+  gboolean no_long; /* accepts no long requests */
 } Server;
 
 static gboolean
@@ -113,14 +113,14 @@
 {
   const char *name;
   gint64 weight_a;
-  guint64 told_a; /* use of workspace a over all entries, by an update; 0: no update */
+  guint64 told_a; /* workspace a's use over all entries in an update; 0: no update */
   const char *order;
 } FairCase;
 
 /*
- * Symptom: a flood by one workspace, at this entry or at others, makes another wait.
- * Sequence: a has many requests before b's first comes.
- * Cause: requests are served in the order of their arrival, or shares count one entry only.
+ * Guards against a flood by one workspace, at this entry or others, delaying another workspace.
+ * Workspace a queues many requests before b's first one. The fault: serving requests in order of
+ * arrival, or counting use at one entry only.
  */
 static const FairCase fair_cases[] = {
   { "equal weights", 1, 0, "abababaaaa" },
@@ -162,9 +162,8 @@
 }
 
 /*
- * Symptom: a crew's short question waits behind an ordinance bundle.
- * Sequence: a long prompt, or a larger one of the same lane, is first and finds no room.
- * Cause: the head of the queue blocks what is behind it.
+ * Guards against a short prompt waiting behind a long one. A long prompt, or a larger one in the
+ * same lane, is first in the queue and doesn't fit; it must not block the requests behind it.
  */
 static void
 test_short_requests_pass_long_ones (void)
@@ -192,16 +191,16 @@
 {
   const char *name;
   guint64 fence;
-  guint64 call; /* which of two requests it answers */
+  guint64 call; /* number of the credit request that it answers: 1 or 2 */
   guint ttl_ms;
-  KnlTime after; /* between its coming and the use */
-  guint64 room;  /* expected, of 100 at most */
+  KnlTime after; /* time from its arrival to the check */
+  guint64 room;  /* expected free tokens, at most 100 */
 } GrantCase;
 
 /*
- * Symptom: entries together use more of an engine than it has.
- * Sequence: a holder that lost its lease grants late, answers cross, or a grant is over.
- * Cause: the last grant to come is believed for as long as it says from then on.
+ * Guards against entries together using more of an engine than it has. A holder that lost its lease
+ * grants late, answers are reordered, or a grant expires. The fault: accepting the last grant to
+ * arrive, and counting its time to live from its arrival.
  */
 static const GrantCase grant_cases[] = {
   { "in force", 5, 2, 1000, 0, 60 },
@@ -261,7 +260,7 @@
       engine = add_engine (&policy, "engine-1");
       for (guint call = 0; call < 2; call++)
         en_credits_request_free (en_credits_request (policy.credits, no_wants, NULL));
-      /* The first grant answers the second request, unless the case is about its answer. */
+      /* Answers request 1 if the case's grant is of the same holder and answers request 2. */
       apply_grant (&policy, c->call == 2 && c->fence == 5 ? 1 : 2, 100, 5, 1000);
       knl_paused_clock_advance (policy.clock, 100 * KNL_MSEC);
       apply_grant (&policy, c->call, 60, c->fence, c->ttl_ms);
@@ -273,9 +272,9 @@
 }
 
 /*
- * Symptom: in an outage of the platform nothing is served, or entries overrun the engines.
- * Sequence: no shard has a holder for long; nine entries go on by themselves.
- * Cause: nobody grants, and each entry helps itself.
+ * Guards against serving nothing, or overloading engines, in an outage of the platform. No shard
+ * has a holder for a long time, so nobody grants credits; the static shares of nine entries must
+ * add up to the engine's capacity.
  */
 static void
 test_static_shares_fit (void)
@@ -301,7 +300,7 @@
       credits = en_credits_new (policy.kernel, policy.fleet, name);
       en_credits_saw_capacity (engine, 9000, 36);
       need.tokens = 1;
-      /* Grants of the holder before may still be in force elsewhere. */
+      /* The previous holder's grants to other entries may still be in force. */
       CU_ASSERT_FALSE (en_credits_has_room (credits, engine, &need));
       knl_paused_clock_advance (policy.clock, 3 * KNL_SEC);
       CU_ASSERT_TRUE (en_credits_has_room (credits, engine, &need));
@@ -329,7 +328,7 @@
 typedef struct
 {
   const char *name;
-  Make first; /* what is made of engine-1; engine-2 has a backlog of 1,000 tokens */
+  Make first; /* state of engine-1; engine-2 has a backlog of 1,000 tokens */
   const char *chosen;
 } ChoiceCase;
 
@@ -401,7 +400,7 @@
     }
 }
 
-/* Engines in role "short" get no long prompts, as they would refuse them. */
+/* Engines in role "short" refuse long prompts, so they must not get any. */
 static void
 test_long_prompts_keep_to_their_engines (void)
 {
@@ -429,10 +428,9 @@
 }
 
 /*
- * Symptom: one workspace sends many times its usual requests, and the first tokens of all others
- * come late, though the queue here is fair.
- * Sequence: the engines have room, so all are dispatched; there they wait in one line.
- * Cause: the engines know priorities, not workspaces.
+ * Guards against a flood by one workspace delaying the first tokens of all others despite a fair
+ * queue. The engines have capacity, so everything is dispatched and waits in the engines' own
+ * queues, which know priorities but not workspaces; the flood must be detected and get a lower one.
  */
 static void
 test_a_flood_is_told_from_large_users (void)
@@ -466,7 +464,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "a flood is told from large users", test_a_flood_is_told_from_large_users },
+  { "a flood is distinguished from large users", test_a_flood_is_told_from_large_users },
   { "workspaces share by weight over all entries", test_workspaces_share_by_weight },
   { "short requests pass long ones", test_short_requests_pass_long_ones },
   { "grants are taken in order and lapse", test_grants },
--- a/tests/unit/en_retry_test.c
+++ b/tests/unit/en_retry_test.c
@@ -1,4 +1,4 @@
-/** What is tried again, and how an answer goes on that was begun elsewhere. */
+/** Which losses are retried, and how an answer continues from another attempt. */
 
 #include <string.h>
 
@@ -54,14 +54,14 @@
 typedef struct
 {
   const char *name;
-  const char *parts[4]; /* of the second attempt, one token each letter */
-  const char *got;      /* what the caller has in the end; NULL: an explicit end */
+  const char *parts[4]; /* texts of the second attempt, one token per letter */
+  const char *got;      /* the caller's complete answer; NULL: the mismatch is detected */
 } JoinCase;
 
-/* The caller has "abc" of a lost attempt. */
+/* The caller has received "abc" from a lost attempt. */
 static const JoinCase join_cases[] = {
-  { "the same in the same parts", { "a", "bc", "de" }, "abcde" },
-  { "a part across the border", { "ab", "cde" }, "abcde" },
+  { "the same text, split at the caller's position", { "a", "bc", "de" }, "abcde" },
+  { "a text across the caller's position", { "ab", "cde" }, "abcde" },
   { "all in one", { "abcde" }, "abcde" },
   { "other text", { "ab", "x", "de" }, NULL },
   { "other text in one part", { "axcde" }, NULL },
@@ -103,7 +103,7 @@
 
 static const SuiteCase cases[] = {
   { "what is tried again", test_retries },
-  { "a restarted answer goes on without a seam or not at all", test_joined_answers },
+  { "a repeated answer continues the first one or is rejected", test_joined_answers },
 };
 
 SUITE_MAIN ("en_retry", cases)
