--- a/entry/shares.c
+++ b/entry/shares.c
@@ -22,13 +22,13 @@
 typedef struct
 {
   gint64 weight;
-  double own; /* decayed up to `own_at` */
+  double own; /* tokens dispatched here, decayed up to `own_at` */
   KnlTime own_at;
-  double all;         /* over all entries, from the last update */
+  double all;         /* tokens over all entries, from the last update */
   KnlTime all_at;     /* 0: no update yet */
-  double requests;    /* dispatched here, decayed up to `own_at` */
-  guint64 unreported; /* since the last report */
-  guint64 reported;   /* in reports sent since the last update */
+  double requests;    /* requests dispatched here, decayed up to `own_at` */
+  guint64 unreported; /* tokens dispatched since the last report */
+  guint64 reported;   /* tokens in reports sent since the last update */
 } Row;
 
 EnShares *
--- a/include/entry/attempt.h
+++ b/include/entry/attempt.h
@@ -18,7 +18,7 @@
 {
   PolLoss kind;
   gboolean refused;  /**< the engine answered with a refusal */
-  gboolean leaving;  /**< the engine takes no new work */
+  gboolean leaving;  /**< the engine accepts no new work */
   gboolean accepted; /**< the engine had accepted the request */
   gboolean crashed;  /**< the engine restarted or can no longer be reached */
   const char *detail;
--- a/include/entry/estimate.h
+++ b/include/entry/estimate.h
@@ -24,7 +24,7 @@
                                EnLane lane,
                                guint64 prefill);
 
-/** Time that a new request of `workspace` would wait in the queue. */
+/** Time that a new request of `workspace` would wait in the queue; 0 without a measurement. */
 KnlTime en_estimates_wait (EnEstimates *estimates,
                            const char *service,
                            EnLane lane,
--- a/include/entry/router.h
+++ b/include/entry/router.h
@@ -9,14 +9,14 @@
 
 typedef struct EnRouter EnRouter;
 
-/** The request's side of a choice. */
+/** A request that an engine is to be chosen for. */
 typedef struct
 {
   const char *label; /**< label of the service's endpoints */
   const char *service;
   const char *zone; /**< the entry's own zone */
   EnNeed need;
-  guint64 number; /**< number of the request, for which an engine may be kept free */
+  guint64 number; /**< the request's number, by which an engine may be kept free for it */
   const guint64 *blocks;
   gsize n_blocks;
   KnlTime now;
--- a/tests/unit/en_policy_test.c
+++ b/tests/unit/en_policy_test.c
@@ -438,7 +438,7 @@
   static const struct
   {
     guint requests[4];
-    gint64 weight; /* of the first */
+    gint64 weight; /* weight of the first workspace */
     gboolean floods;
   } rows[] = {
     { { 100, 30, 30, 5 }, 1, TRUE },  { { 100, 90, 80, 5 }, 1, FALSE },
