--- a/entry/cancels.c
+++ b/entry/cancels.c
@@ -7,10 +7,13 @@
 #define RETRY_LIMIT  (5 * KNL_SEC)
 #define SECOND_AFTER (2 * KNL_SEC)
 
-/* An engine's own hold time has passed long before; whoever has not answered by then is gone. */
+/* Much longer than engines hold a request by themselves: an engine silent for so long is gone. */
 #define GIVE_UP_AFTER (600 * KNL_SEC)
 
-/* An engine that members have no more may only be cut off: its hold time has passed by then. */
+/*
+ * An engine that was removed from the members may only be unreachable and still hold
+ * the request; its own hold time has passed by then.
+ */
 #define GONE_AFTER (60 * KNL_SEC)
 
 struct EnCancels
--- a/entry/control.c
+++ b/entry/control.c
@@ -1,4 +1,4 @@
-/** Frames from the controller, and what the entry tells it by the clock. */
+/** Handles the controller's frames, and sends it the entry's periodic reports and requests. */
 
 #include <string.h>
 
@@ -11,15 +11,15 @@
 #define CREDITS_AT_MOST (20 * KNL_MSEC)
 
 /*
- * How long a long prompt asks one engine before it asks the next one: others'
- * grants there have to lapse first.
+ * How long a long prompt requests credits of one engine before it tries the next:
+ * grants of other entries on that engine have to lapse first.
  */
 #define WANT_ROTATION (5 * KNL_SEC)
 
-/* Long prompts that ask at once; those behind them could not run yet. */
+/* Long prompts that request credits at the same time; those queued behind them can't run yet. */
 #define LONG_WANTS_MOST 2
 
-/* How often an engine without a grant is asked for its report, and how many at once. */
+/* Ticks between two polls of engines without a grant, and polls that run at the same time. */
 #define POLL_TICKS 2
 #define POLLS_MOST 16
 
@@ -96,12 +96,12 @@
   return MAX (count, 1);
 }
 
-/* What long prompts want of one engine. */
+/* Credits of one engine requested for long prompts. */
 typedef struct
 {
   guint64 tokens;
   guint slots;
-  guint64 largest; /* of one request, of whose room a part is no use */
+  guint64 largest; /* tokens of the largest request, for which a partial grant is of no use */
 } LongWant;
 
 static void
@@ -135,10 +135,10 @@
 }
 
 /*
- * A long prompt needs much of one engine, and a grant of a part helps nobody: it
- * asks one engine for all, another one after a while, and each entry's prompts
- * begin with engines of their own. A reservation asks all that it lacks at once,
- * though it takes them in their order.
+ * A long prompt needs much of one engine's memory, and a partial grant is of no
+ * use: it requests everything from one engine, and from the next one after
+ * WANT_ROTATION. Entries start at different engines. A reservation requests all
+ * parts that it lacks at the same time.
  */
 static void
 add_request_want (EnRequest *request, gpointer data)
@@ -163,7 +163,7 @@
   g_ptr_array_unref (engines);
 }
 
-/* Each engine is asked for its part of the short prompts, and at least for the largest. */
+/* Requests an engine's share of the waiting short prompts, and at least the largest of them. */
 static void
 want_of_engine (const EnEndpoint *endpoint, EnWant *want, gpointer data)
 {
@@ -302,7 +302,10 @@
   g_hash_table_remove (core->polls, poll->endpoint);
 }
 
-/* Without a holder nobody tells an engine's size and load; a few engines are asked directly. */
+/*
+ * Polls engines that no grant describes, as capacity and load are only known from
+ * grants and reports, and engines that have to answer again after a loss.
+ */
 static void
 poll_engines (EnCore *core)
 {
@@ -364,7 +367,7 @@
     poll_engines (core);
   en_core_poll_next_cache (core);
   update_gauges (core);
-  /* Static shares and penalties run out without any event. */
+  /* Static shares become usable and backoffs expire with time, without any event. */
   en_core_wake_queue (core);
 }
 
--- a/entry/crash.c
+++ b/entry/crash.c
@@ -1,5 +1,5 @@
-/** Engines that died: who was in flight there is reported, and all of them are tried again or
- * refused. */
+/** Crashes of engines: reports the requests that were running there, and retries or refuses them.
+ */
 
 #include <string.h>
 
@@ -40,9 +40,9 @@
 }
 
 /*
- * A request that kills engines would be tried on one after the other until none
- * is left. All that ran on the dead one are suspects; that they run alone next
- * tells the one that kills from those that ran beside it.
+ * A request that crashes engines would be retried on one engine after the other
+ * until none is left. All requests that ran on the crashed engine become suspects
+ * and run alone next, which tells the cause from those that ran next to it.
  */
 void
 en_core_report_crash (EnCore *core, EnEndpoint *endpoint, guint epoch, guint64 incarnation)
--- a/entry/credits.c
+++ b/entry/credits.c
@@ -5,19 +5,19 @@
 
 #include "common/log.h"
 
-/* Requests whose answers may still come; older answers carry no grant that is not over. */
+/* Number of requests whose answers are accepted; grants in older answers have expired. */
 #define CALLS 64
 
 /*
- * A holder that is gone may have granted all of an engine to others just
- * before: the static share waits until such grants must have lapsed.
+ * A holder that failed may just have granted all of an engine to other entries:
+ * the static share applies only after such grants must have lapsed.
  */
 #define STATIC_AFTER (2 * KNL_SEC)
 
-/* Asked for also when nothing waits, so that a first short request need not wait for a grant. */
-/* Half of the shortest time that a grant lasts by default. */
+/* Interval of requests for an idle engine: half of the shortest default lifetime of a grant. */
 #define REST_INTERVAL (1 * KNL_SEC)
 
+/* Requested even when nothing waits, so that a first short request need not wait for a grant. */
 #define HEADROOM_TOKENS 8192
 #define HEADROOM_SLOTS  2
 
@@ -74,7 +74,7 @@
   return MAX (count, 1);
 }
 
-/* Rendezvous hashing: every entry that sees the same entries picks the same one. */
+/* Rendezvous hashing: all entries with the same list of entries choose the same owner. */
 gboolean
 en_credits_owns_rest (EnCredits *self, const EnEndpoint *endpoint)
 {
@@ -161,9 +161,10 @@
 }
 
 /*
- * An engine with nothing of ours and nothing waiting for it is asked for now and
- * then only, so that our grant does not lapse: most engines are so, and asking
- * for all each time would be most of what an entry sends.
+ * An engine on which this entry has no charges and for which nothing waits is
+ * requested only every REST_INTERVAL, which keeps the grant from lapsing. Most
+ * engines are idle in this sense, and including them in each request would be
+ * most of what an entry sends.
  */
 static gboolean
 is_at_rest (const EnEndpoint *endpoint, const Alderturn__CreditWant *want, KnlTime now)
@@ -232,9 +233,9 @@
 }
 
 /*
- * A grant of a holder that lost its lease may come late, after its successor's.
- * The fencing number tells: a lower one than seen is dropped, or both holders'
- * grants together would exceed the engine.
+ * A grant of a holder that lost its lease may arrive after its successor's. Grants
+ * with a lower fencing number than the last are dropped; otherwise both holders'
+ * grants together could exceed the engine's capacity.
  */
 static gboolean
 is_stale (const EnEndpoint *endpoint, const Alderturn__CreditGrant *grant, guint64 call)
--- a/entry/drain.c
+++ b/entry/drain.c
@@ -1,20 +1,23 @@
 /**
- * Graceful shutdown. Callers keep the list of entries for a while, so an entry
- * first leaves the list and serves on until those lists have expired; only then
- * it refuses, finishes what it has, and ends.
+ * Graceful shutdown. Callers cache the list of entries for a while, so an entry
+ * first leaves the list and keeps serving until cached lists have expired. Only
+ * then it refuses new requests, finishes the running ones, and ends.
  */
 
 #include "common/log.h"
 #include "entry/core_internal.h"
 
-/* What callers' clocks and the way of the news to other entries may take beyond the time to keep.
- */
+/* Added to the cache time for callers' clocks and the delay until other entries see the change. */
 #define KEEP_MARGIN (2 * KNL_SEC)
 
-/* How long it still refuses with the new list when nothing is left to finish. */
+/* Shortest time for which it answers with a refusal and the new list, even if nothing still runs.
+ */
 #define REFUSE_AT_LEAST (500 * KNL_MSEC)
 
-/* Cancellations that no engine has acknowledged by then are left to the engines' own hold time. */
+/*
+ * Cancellations that are still unacknowledged by then are left to the engines, which
+ * release requests after their own hold time.
+ */
 #define CANCELS_LIMIT (10 * KNL_SEC)
 
 static void
@@ -102,7 +105,7 @@
     start_leaving (core);
   else if (core->drained == NULL && core->drain != EN_DRAIN_SERVING)
     {
-      /* An operator took the order to drain back. */
+      /* An operator withdrew the declaration to drain. */
       knl_timer_stop (core->kernel, &core->drain_timer);
       core->drain = EN_DRAIN_SERVING;
       cm_log (CM_LOG_NOTICE, "drain-ended");
--- a/entry/engine.c
+++ b/entry/engine.c
@@ -1,9 +1,10 @@
-/** Attempts at engines: what they tell, and what becomes of a request whose attempt was lost. */
+/** Attempts at engines: handles their events, and retries or ends requests whose attempt was lost.
+ */
 
 #include "common/log.h"
 #include "entry/core_internal.h"
 
-/* At the engine, shorter classes go first: none waits behind the prefill of a longer one. */
+/* Engines run shorter classes first, so that none waits for the prefill of a longer prompt. */
 static const int priorities[EN_LENGTH_CLASSES] = {
   [EN_LENGTH_4K] = 30,
   [EN_LENGTH_16K] = 20,
@@ -11,7 +12,10 @@
   [EN_LENGTH_1M] = 0,
 };
 
-/* Of a workspace that floods the fleet: behind all but the longest of the others. */
+/*
+ * Deducted for a workspace that floods the fleet, whose shortest class then ranks
+ * below all classes of other workspaces except the longest.
+ */
 #define FLOOD_PENALTY 25
 
 static int
@@ -22,7 +26,7 @@
   return en_shares_floods (core->shares, request->workspace) ? priority - FLOOD_PENALTY : priority;
 }
 
-/* Prompts that are long enough to tell an engine's rate. */
+/* Shortest prompt that may lower the estimate of an engine's prefill rate. */
 #define RATE_SAMPLE_TOKENS 2000
 
 #define RETRY_FIRST (20 * KNL_MSEC)
@@ -84,13 +88,14 @@
   if (endpoint == NULL)
     return;
   en_endpoint_worked (endpoint);
-  /* It was unreachable and not dead: a later crash of the same incarnation is news. */
+  /* The engine is alive in this epoch, so a later crash of the same incarnation is reported. */
   endpoint->crash_reported = MIN (endpoint->crash_reported, endpoint->epoch);
 }
 
 /*
- * The best rate seen, slowly forgotten: a slow first token may only mean that
- * others' prompts were before it. Small prompts tell of fixed costs and no rate.
+ * Keeps the best rate seen, with a slow decay: a late first token may only mean
+ * that prompts of other entries were ahead. Small prompts don't lower the rate, as
+ * fixed costs dominate their time.
  */
 static void
 learn_rate (EnEndpoint *endpoint, guint64 tokens, KnlTime taken)
@@ -269,8 +274,8 @@
 }
 
 /*
- * A part that a reservation holds is lost while the attempt that reads it still
- * runs: that one must be aborted. Left alone it would end the request once more later.
+ * A part held by a reservation can be lost while the attempt that imports it still
+ * runs. That attempt must be aborted, or it would end the request a second time.
  */
 void
 en_core_take_loss (EnCore *core, EnRequest *request, const EnLoss *loss)
--- a/entry/fleet.c
+++ b/entry/fleet.c
@@ -6,13 +6,15 @@
 #include "common/log.h"
 #include "controller/placement.h"
 
-/* A failure may be the request's own; a few seconds are short against an operator's time to look.
+/*
+ * The request itself may have caused the failure, so the backoff is short: at most
+ * a few seconds, much less than an operator needs to react.
  */
 static const PolHealthRule health_rule = { .first = 200 * KNL_MSEC, .limit = 5 * KNL_SEC };
 
 /*
- * An engine that left may be back under the same name. Its word is asked for
- * again after that time, at the price of one refused attempt.
+ * An engine that left may come back under the same name. After this time it is
+ * tried again; if it is still leaving, that costs one refused attempt.
  */
 #define LEAVING_BELIEVED (10 * KNL_SEC)
 
@@ -25,7 +27,7 @@
   GHashTable *controllers; /* name -> address */
   EnRestartFunc on_restart;
   gpointer restart_data;
-  char *name; /* of this entry; NULL: all engines are its own */
+  char *name; /* of this entry; NULL: it uses all engines, no subset */
   char *zone;
 };
 
@@ -117,9 +119,9 @@
 }
 
 /*
- * A restarted engine has lost its memory: what was charged there is free, and
- * charges of the old incarnation return nothing. Without this the entry would
- * count memory as used that nobody holds.
+ * A restarted engine has lost its memory: everything charged there is free, and
+ * charges of the old incarnation return nothing. Otherwise the entry would count
+ * memory as used that no request holds.
  */
 static void
 set_incarnation (EnFleet *self, EnEndpoint *endpoint, guint64 incarnation)
@@ -224,7 +226,7 @@
   g_hash_table_remove_all (self->controllers);
 }
 
-/* Endpoints that hold something of ours stay known until that has come back. */
+/* Endpoints with outstanding charges stay known until all charges are returned. */
 static void
 drop_gone (EnFleet *self)
 {
@@ -289,7 +291,7 @@
   return strcmp (name, "long") == 0 ? EN_ROLE_LONG : EN_ROLE_ANY;
 }
 
-/* The controllers order engines by the same function over the same members. */
+/* The controllers compute their orders to engines with the same function and the same members. */
 static void
 apply_placement (EnFleet *self, const CoConfig *config)
 {
@@ -401,7 +403,7 @@
   return !is_long || endpoint->role != EN_ROLE_SHORT;
 }
 
-/* A suspect member may be alive: work goes on there, as a missed probe is only a hint. */
+/* A suspect member stays usable: it has only missed a probe and may be alive. */
 gboolean
 en_endpoint_usable (const EnEndpoint *endpoint, KnlTime now)
 {
--- a/entry/front.c
+++ b/entry/front.c
@@ -11,7 +11,7 @@
 #define KEY_LIMIT       256
 #define TIMEOUT_MOST_MS 86400000
 
-/* The longest prompts are some MB, over links that may be slow; heads are short. */
+/* The longest prompts are some MB, over links that may be slow; headers are short. */
 #define HEAD_TIMEOUT    (10 * KNL_SEC)
 #define REQUEST_TIMEOUT (60 * KNL_SEC)
 #define IDLE_TIMEOUT    (60 * KNL_SEC)
@@ -75,7 +75,10 @@
   g_string_free (text, TRUE);
 }
 
-/* Addresses are no secret and are asked for before anything else; only a wrong token is refused. */
+/*
+ * Addresses aren't secret, and callers request them before anything else: no token is
+ * required, but a wrong one is refused.
+ */
 static void
 serve_entries (EnFront *self, HtCall *call, const char *path)
 {
@@ -123,7 +126,7 @@
   g_free (id);
 }
 
-/* The headers that all submissions have; NULL, or what is wrong with them. */
+/* Reads the headers common to all submissions. Returns NULL, or an error message. */
 static const char *
 read_headers (HtCall *call, EnSubmission *submission)
 {
@@ -194,7 +197,7 @@
   json_decref (body);
 }
 
-/* Path and query; a caller may also send the whole URI. */
+/* Returns path and query; the request target may also be an absolute URI. */
 static const char *
 target_of (const HtMessage *request)
 {
@@ -235,7 +238,7 @@
 
 typedef struct
 {
-  const char *method; /* NULL: those of plain services */
+  const char *method; /* NULL: the methods allowed for plain services */
   const char *path;
   gboolean is_prefix;
   void (*serve) (EnFront *front, HtCall *call, const char *path);
@@ -347,7 +350,8 @@
     .request_timeout = REQUEST_TIMEOUT,
     .idle_timeout = IDLE_TIMEOUT,
     .max_connections = CONNECTIONS_MOST,
-    .max_unsent = G_MAXSIZE, /* streams have max_unread, and other answers are one at a time */
+    .max_unsent =
+        G_MAXSIZE, /* max_unread bounds streams, and other answers are sent one at a time */
   };
 
   self->settings = *settings;
--- a/entry/http_caller.c
+++ b/entry/http_caller.c
@@ -11,11 +11,11 @@
   EnHttpCallers *owner;
   HtCall *call;
   EnAnswerForm form;
-  guint64 number; /* of the request at the core; 0 before */
-  GString *text;  /* of an answer given as one object */
+  guint64 number; /* the core's number of the request; 0: not submitted yet */
+  GString *text;  /* collected tokens of an EN_ANSWER_JSON answer, else NULL */
 };
 
-/* A value with a line end in it would add header lines of its own. */
+/* Omits a value with a line end, which could inject further header lines. */
 static void
 add_field (GString *fields, const char *name, const char *value)
 {
@@ -122,7 +122,7 @@
   json_decref (json);
 }
 
-/* The last event of a stream. */
+/* Sends the last event of a stream and ends the answer. */
 static void
 end_stream (EnHttpCaller *self, const char *event, json_t *json)
 {
@@ -266,7 +266,7 @@
   self->text = form == EN_ANSWER_JSON ? g_string_new (NULL) : NULL;
   ht_call_set_data (call, self);
   number = en_core_submit (callers->core, submission, &self->base);
-  /* 0: it was answered inside the call, and the caller is freed. */
+  /* 0: the request was answered during the call, and `self` has been freed. */
   if (number != 0)
     self->number = number;
 }
--- a/entry/main.c
+++ b/entry/main.c
@@ -1,4 +1,4 @@
-/** alderturn-entry: settings, sockets and signals around a core. */
+/** Main program of alderturn-entry: settings, sockets, signals and the life of the core. */
 
 #include <signal.h>
 #include <stdlib.h>
@@ -14,7 +14,8 @@
 
 #define PROGRAM "alderturn-entry"
 
-/* How often a drained program looks whether the last answers are with the network. */
+/* Interval at which a drained process checks whether the last answers were written to the network.
+ */
 #define FLUSH_INTERVAL (50 * KNL_MSEC)
 #define FLUSH_LIMIT    (10 * KNL_SEC)
 
@@ -162,7 +163,7 @@
   en_uplink_free (program->uplink);
   wr_transport_free (program->transport);
   ep_client_free (program->client);
-  /* Connections being closed are freed by timers that are due now. */
+  /* Closing connections are freed by timers that are already due. */
   knl_kernel_run_due (program->process.kernel);
   co_config_free (program->config);
   knl_process_close (&program->process);
@@ -171,7 +172,7 @@
 static int
 run (Program *program)
 {
-  /* The one use of wall time: a process started later has a higher incarnation. */
+  /* Wall time is used only here, so that a process started later has a higher incarnation. */
   guint64 incarnation = (guint64)g_get_real_time ();
   int status = EXIT_FAILURE;
 
@@ -197,7 +198,7 @@
     cm_findings_add (findings, "flag", 0, 0, "--log-severity", "\"%s\" is no syslog severity",
                      settings->log_severity);
   if (settings->router != NULL && !en_router_exists (settings->router))
-    cm_findings_add (findings, "flag", 0, 0, "--router", "there is no way \"%s\"",
+    cm_findings_add (findings, "flag", 0, 0, "--router", "unknown routing strategy \"%s\"",
                      settings->router);
 }
 
@@ -213,8 +214,8 @@
   g_set_prgname (PROGRAM);
   signal (SIGPIPE, SIG_IGN);
   cm_findings_init (&findings);
-  action = cm_settings_parse (entry_settings_table, "Takes callers' requests to endpoints.", argc,
-                              argv, &program.settings, NULL, &findings);
+  action = cm_settings_parse (entry_settings_table, "Forwards callers' requests to endpoints.",
+                              argc, argv, &program.settings, NULL, &findings);
   if (action != CM_SETTINGS_EXIT)
     check_settings (&program.settings, &severity, &findings);
   if (cm_findings_report (&findings))
--- a/entry/record.c
+++ b/entry/record.c
@@ -1,6 +1,6 @@
 /**
- * Requests that may run at most once: their record is made durable before any
- * endpoint hears of them, and their outcome is recorded before they end.
+ * Requests that may run at most once: their record is made durable before they are
+ * sent to any endpoint, and their outcome is recorded before they end.
  */
 
 #include <jansson.h>
@@ -12,12 +12,12 @@
 #define BEGIN_LIMIT  (3 * KNL_SEC)
 #define FINISH_LIMIT (2 * KNL_SEC)
 
-/* Longer answers are not kept with the record; who asks again learns that it ran. */
+/* Longer answers aren't stored; a repeated request is told only that the first one ran. */
 #define ANSWER_KEPT ((gsize)64 * 1024)
 
 #define RETRY_AFTER (1 * KNL_SEC)
 
-/* How a verdict other than RUN and DONE ends the request. */
+/* Error that ends a request on a verdict other than RUN and DONE. */
 typedef struct
 {
   EnErrorCode code;
@@ -171,7 +171,7 @@
     .state = state_of (outcome),
   };
 
-  /* A begin without verdict is recorded as not run, a finish under way goes on by itself. */
+  /* A begin without a verdict is recorded as not run; a pending finish continues by itself. */
   en_records_abandon (core->records, &request->record_call);
   if (request->recorded && !request->record_closed)
     en_records_finish (core->records, &finish, 0, NULL, NULL);
@@ -215,9 +215,9 @@
 }
 
 /*
- * The caller hears "done" only when the record says so too: if the entry died
- * in between, whoever asks again with the key would be told "unknown" of an
- * answer that was already given.
+ * The caller is told "done" only after that is recorded. Otherwise, if the entry
+ * died in between, a repeated request with the key would get "unknown" although
+ * the answer had already been delivered.
  */
 void
 en_core_complete (EnCore *core, EnRequest *request, const EnAnswer *answer)
--- a/entry/records.c
+++ b/entry/records.c
@@ -7,7 +7,8 @@
 #define RETRY_FIRST (200 * KNL_MSEC)
 #define RETRY_LIMIT (2 * KNL_SEC)
 
-/* An outcome that no holder takes for so long stays a record that was begun: "unknown" later. */
+/* If no holder accepts the outcome for so long, the record stays begun and reads "unknown" later.
+ */
 #define FINISH_GIVE_UP (60 * KNL_SEC)
 
 struct EnRecords
@@ -19,13 +20,13 @@
   guint finishes;
 };
 
-/* One begin or finish that has not been answered. */
+/* A begin or finish that has not been answered. */
 typedef struct
 {
   EnRecords *owner;
   EnRecordCall id;
   gboolean is_begin;
-  EnRecordFinish finish; /* its strings are owned; a begin uses the first three */
+  EnRecordFinish finish; /* owns its strings; a begin uses only the first three */
   EnRecordBegunFunc begun;
   EnRecordFinishedFunc finished;
   gpointer data;
@@ -120,7 +121,7 @@
   g_hash_table_remove (self->calls, &call->id);
 }
 
-/* The asker need not wait longer; the outcome itself is still sent until it is durable. */
+/* The request stops waiting here; the outcome is still sent until it is durable. */
 static void
 on_finish_limit (gpointer data)
 {
@@ -151,9 +152,9 @@
 }
 
 /*
- * The begin may have become durable after all, with its answer lost. Nothing
- * ran, so that is recorded; else the key could not be used again, and its
- * owner would be told "outcome unknown" of a request that never ran.
+ * The begin may have become durable although its answer was lost. As nothing ran,
+ * "not run" is recorded; otherwise the key couldn't be used again, and the caller
+ * would get "outcome unknown" for a request that never ran.
  */
 static void
 record_not_run (EnRecords *self, const Call *begin)
@@ -222,7 +223,7 @@
   call_free (call);
 }
 
-/* A verdict that comes after the limit finds no call: the attempt was recorded as not run. */
+/* For a verdict after the limit there is no call: the attempt has been recorded as not run. */
 void
 en_records_take_begun (EnRecords *self, const Alderturn__IdemReply *reply)
 {
@@ -248,7 +249,7 @@
 {
   Call *call = g_hash_table_lookup (self->calls, &reply->call);
 
-  /* Not durable now: the next send asks again. */
+  /* Not durable yet: the outcome is sent again by the retry timer. */
   if (call == NULL || call->is_begin || !reply->durable)
     return;
   g_hash_table_steal (self->calls, &call->id);
--- a/entry/reservation.c
+++ b/entry/reservation.c
@@ -15,14 +15,14 @@
   guint64 tokens; /* of memory */
   EnCharge *charge;
   EnAttempt *attempt;
-  EnProgress progress; /* a held part has no answer; attempts want one all the same */
+  EnProgress progress; /* required by the attempt, although a held part has no answer */
   gboolean held;
 } Part;
 
 struct EnReservation
 {
   EnReservationHost host;
-  GPtrArray *parts; /* Part, in order of their engines' names; the last generates */
+  GPtrArray *parts; /* Part, sorted by engine name; the last one decodes */
   KnlTime started;
   gboolean lost;
 };
@@ -69,7 +69,7 @@
   return strcmp ((*(EnEndpoint *const *)a)->name, (*(EnEndpoint *const *)b)->name);
 }
 
-/* The first engines that have enough together, in the order in which all entries take them. */
+/* Returns the first engines that together have enough, sorted by name as in all entries. */
 static GPtrArray *
 choose_engines (const EnReservationHost *host,
                 const GPtrArray *engines,
@@ -110,7 +110,7 @@
       const EnEndpoint *endpoint = g_ptr_array_index (chosen, i);
       guint64 tokens = MIN (left, most_of (host, endpoint, part));
 
-      /* The answer is never divided: a part before the last has prompt alone. */
+      /* The answer is never divided: the parts before the last hold only prompt tokens. */
       if (tokens < left)
         tokens = MIN (tokens, left > answer ? left - answer : 0);
       if (tokens == 0)
@@ -266,7 +266,7 @@
   .on_lost = on_part_lost,
 };
 
-/* Cuts before a whole character, as the part has to be valid UTF-8 by itself. */
+/* Moves the cut to the start of a character, as each part must be valid UTF-8 by itself. */
 static gsize
 cut_at (const char *text, gsize length, gsize wanted)
 {
@@ -287,9 +287,10 @@
   gsize from = 0;
 
   /*
-   * With one part no event of a held one ever comes, and the request would wait
-   * until its limit, without an engine. Other engines may count for nothing when
-   * the parts are planned: a new one, or one whose grant has just lapsed.
+   * With a single part there is no held part whose event would call on_held, and
+   * the request would wait until its deadline without an engine. A plan has a single
+   * part when the other engines contribute nothing: a new engine, or one whose
+   * grant has just lapsed.
    */
   if (self->parts->len == 1)
     {
@@ -343,7 +344,7 @@
 
       if (part->attempt == NULL || strcmp (part->endpoint, endpoint) != 0)
         continue;
-      /* One part at most is on each engine; its loss frees the reservation. */
+      /* Each engine has at most one part, whose loss frees the reservation: stop here. */
       en_attempt_engine_restarted (part->attempt);
       return;
     }
--- a/entry/reserve.c
+++ b/entry/reserve.c
@@ -1,20 +1,22 @@
-/** Prompts above one engine's memory: from the queue to a reservation, and from there to an
- * attempt. */
+/**
+ * Prompts that need more than one engine's memory: moves them from the queue to a
+ * reservation, and from there to an attempt.
+ */
 
 #include <string.h>
 
 #include "entry/core_internal.h"
 
 /*
- * Two entries that ask for most of one engine are each granted half of it, for
- * as long as both ask. How long one asks, and then pauses, is random, so that one
- * of them stays and gets all.
+ * Two entries that request most of one engine are each granted half of it as long
+ * as both request it. The time that an entry tries, and its pause afterwards, are
+ * random, so that one of them remains and is granted everything.
  */
 #define PATIENCE_LEAST (3 * KNL_SEC)
 #define PATIENCE_MOST  (15 * KNL_SEC)
 #define PAUSE_MOST     (4 * KNL_SEC)
 
-/* In this entry's order; each further try begins with another one. */
+/* The engines in this entry's order of preference; each retry starts with another one. */
 static GPtrArray *
 engines_for (EnCore *core, const EnRequest *request)
 {
@@ -81,8 +83,8 @@
 };
 
 /*
- * Parts of an engine's memory, as small as the number of engines allows: two
- * entries that want the same engine are both granted small ones.
+ * Fractions of an engine's memory, tried from the smallest: two entries that want
+ * the same engine can both be granted a small one.
  */
 static const double parts[] = { 0.25, 0.5, 0.8 };
 
@@ -135,8 +137,8 @@
 }
 
 /*
- * One reservation of this entry is acquired at a time: several would each be
- * granted a part of the same engines, and none of them enough.
+ * An entry acquires one reservation at a time: several would each be granted a
+ * share of the same engines, and none of them enough.
  */
 EnReserve
 en_core_reserve (EnCore *core, EnRequest *request)
--- a/entry/uplink.c
+++ b/entry/uplink.c
@@ -23,7 +23,7 @@
   WrLink *trial; /* being opened, or NULL */
   gboolean link_is_local;
   gboolean trial_is_local;
-  gboolean local_failed; /* the last trial of the local one failed */
+  gboolean local_failed; /* the local one failed last: the next attempt goes to another */
   CmBackoff backoff;
   KnlTimerId timer;
 } Uplink;
@@ -111,7 +111,10 @@
   return NULL;
 }
 
-/* The local controller first; another one after it has failed, in turn with it. */
+/*
+ * Tries the local controller first; after it has failed, alternates between the
+ * others and the local one.
+ */
 static void
 on_timer (gpointer data)
 {
--- a/include/entry/cancels.h
+++ b/include/entry/cancels.h
@@ -3,11 +3,11 @@
 /**
  * Cancellations at engines, repeated until acknowledged.
  *
- * A caller that leaves, a limit that passes or a cut connection leaves a
- * request on its engine, whose memory is only given back when the engine hears
- * of it. A lost cancel would keep that memory taken; one would see the engine's
- * used tokens stay up without requests. Until the engine has acknowledged, or
- * has restarted, the entry counts the memory as used.
+ * When a caller disconnects, a deadline passes or a connection breaks, the request
+ * stays on its engine and keeps its memory until the engine is told to cancel it.
+ * If that message were lost, the memory would stay in use, and the engine would
+ * report used tokens without requests. Until the engine has acknowledged the
+ * cancellation or has restarted, the entry counts the memory as used.
  */
 
 #include "endpoint/endpoint.h"
@@ -15,7 +15,7 @@
 
 typedef struct EnCancels EnCancels;
 
-/** Called after an engine's part came back, so that waiting requests get it. */
+/** Called after a charge was returned, so that waiting requests can use the memory. */
 typedef void (*EnCancelsFreed) (gpointer data);
 
 EnCancels *en_cancels_new (KnlKernel *kernel, EpClient *client, EnFleet *fleet);
@@ -24,9 +24,9 @@
 void en_cancels_on_freed (EnCancels *cancels, EnCancelsFreed func, gpointer data);
 
 /**
- * Cancels `request` at `address` and then returns `charge` (taken over; may be
- * NULL). `unsure`: the engine may still get the request itself after the
- * cancel, so that it is cancelled a second time a little later.
+ * Cancels `request` at `address` and then returns `charge` (ownership is
+ * transferred; may be NULL). `unsure`: the request itself may still reach the
+ * engine after the cancellation, which is therefore sent a second time later.
  */
 void en_cancels_add (EnCancels *cancels,
                      const char *address,
@@ -34,5 +34,5 @@
                      EnCharge *charge,
                      gboolean unsure);
 
-/** Cancels not yet acknowledged. */
+/** Number of cancellations that are not acknowledged yet. */
 guint en_cancels_pending (const EnCancels *cancels);
--- a/include/entry/fleet.h
+++ b/include/entry/fleet.h
@@ -1,11 +1,12 @@
 #pragma once
 
 /**
- * What the entry knows of the endpoints and of the other entries: from
- * members, from granted load reports and from its own work on them.
+ * The entry's view of the endpoints and of the other entries: built from member
+ * updates, from load reports that come with grants, and from the entry's own
+ * requests.
  *
- * Endpoints are referred to by name over time; a pointer is valid until the
- * next en_fleet_apply_members().
+ * Pointers to endpoints are valid until the next en_fleet_apply_members(); code
+ * that runs later looks the endpoint up by its name.
  */
 
 #include "coord/config.h"
@@ -13,12 +14,12 @@
 #include "policy/health.h"
 #include "wire/alderturn.pb-c.h"
 
-/** What lengths of prompts an engine is for, as placement has it. */
+/** Prompt lengths that placement assigns to an engine. */
 typedef enum
 {
   EN_ROLE_ANY,
-  EN_ROLE_SHORT, /**< refuses long ones */
-  EN_ROLE_LONG,  /**< takes both */
+  EN_ROLE_SHORT, /**< short prompts only */
+  EN_ROLE_LONG,  /**< long and short prompts */
 } EnRole;
 
 /** A grant of part of an engine's memory and batch slots to this entry. */
@@ -26,18 +27,18 @@
 {
   guint64 tokens;
   guint slots;
-  KnlTime expires; /**< 0: there never was one */
+  KnlTime expires; /**< 0: nothing was ever granted */
   guint64 fence;
-  guint64 call; /**< of the request that it answers */
+  guint64 call; /**< number of the credit request that it answers */
 } EnGrant;
 
-/** An engine's load by its last report that reached us. */
+/** An engine's load by the newest report that this entry received. */
 typedef struct
 {
   guint64 used_tokens;
   guint waiting;
   guint64 prefill_backlog;
-  KnlTime at; /**< when the engine made the report; 0: none */
+  KnlTime at; /**< time at which the engine made the report; 0: no report yet */
 } EnLoad;
 
 typedef struct
@@ -48,43 +49,43 @@
   char *label; /**< matched by a service's "endpoints" */
   Alderturn__MemberKind kind;
   Alderturn__MemberState state;
-  gboolean placed; /**< placement has been worked out with it */
-  char *service;   /**< that placement gives it to; NULL: none */
+  gboolean placed; /**< placement was computed since it was added */
+  char *service;   /**< service that placement assigns it to; NULL: none */
   EnRole role;
-  guint64 incarnation;   /**< 0: not known */
+  guint64 incarnation;   /**< 0: unknown */
   guint epoch;           /**< rises when it restarts */
-  gboolean gone;         /**< members have it no more */
-  gboolean drained;      /**< declared so by an operator */
-  gboolean other_subset; /**< one of many engines, left to other entries */
-  KnlTime leaving_until; /**< it said that it takes no new work; believed for a while */
+  gboolean gone;         /**< no longer among the members */
+  gboolean drained;      /**< an operator declared it draining */
+  gboolean other_subset; /**< not in this entry's subset of the engines */
+  KnlTime leaving_until; /**< it advertised that it is leaving; gets no new work until then */
 
   EnGrant grant;
-  guint64 capacity_tokens; /**< 0: not known */
+  guint64 capacity_tokens; /**< 0: unknown */
   guint capacity_slots;
   EnLoad load;
   KnlTime known_since;
-  KnlTime asked_at; /**< when credits for it were last asked for */
+  KnlTime asked_at; /**< time of the last credit request for it */
 
   guint64 used_tokens; /**< charged by our own requests */
   guint used_slots;
-  guint64 pending_prefill; /**< our tokens there whose first token has not come */
-  guint64 pending_long;    /**< the part of it that is of long prompts */
-  guint64 recent_tokens;   /**< dispatched by us after `load.at` */
-  double prefill_rate;     /**< tokens a second; 0: not known */
-  guint crash_reported;    /**< epochs up to it, exclusively, have had their crash reported */
-  PolHealth health;        /**< by our own requests there */
-  gboolean unproven;       /**< an engine that was lost and has not answered since */
+  guint64 pending_prefill; /**< prompt tokens of own requests there without a first token */
+  guint64 pending_long;    /**< the share of long prompts in `pending_prefill` */
+  guint64 recent_tokens;   /**< tokens that this entry dispatched since `load` was received */
+  double prefill_rate;     /**< tokens a second; 0: unknown */
+  guint crash_reported;    /**< crashes in epochs below this one have been reported */
+  PolHealth health;        /**< from this entry's own requests */
+  gboolean unproven;       /**< an attempt there was lost and it has not answered since */
   guint64 held_for;        /**< number of the request that it is kept free for; 0: none */
-  gboolean exclusive;      /**< runs a suspect alone */
-  GHashTable *prefixes;    /**< set of prefix block hashes that its cache should hold */
+  gboolean exclusive;      /**< runs a suspect request and takes no other one */
+  GHashTable *prefixes;    /**< set of hashes of prefix blocks expected in its cache */
   guint64 cache_sequence;
 } EnEndpoint;
 
-/** A part of an endpoint in use by one attempt; returned once. */
+/** Memory and slots of an endpoint in use by one attempt; returned exactly once. */
 typedef struct
 {
   char *endpoint;
-  guint epoch; /**< of the endpoint when it was charged */
+  guint epoch; /**< the endpoint's epoch at the time of the charge */
   guint64 tokens;
   guint slots;
 } EnCharge;
@@ -92,7 +93,7 @@
 typedef struct
 {
   char *name;
-  char *address; /**< for callers */
+  char *address; /**< where callers connect */
   char *zone;
   Alderturn__MemberState state;
   gboolean drained;
@@ -100,12 +101,12 @@
 
 typedef struct EnFleet EnFleet;
 
-/** Called with the endpoint when its incarnation rose; `before` is the old one. */
+/** Called when an endpoint's incarnation has risen; `before` is the previous one. */
 typedef void (*EnRestartFunc) (EnEndpoint *endpoint, guint64 before, gpointer data);
 
 EnFleet *en_fleet_new (KnlKernel *kernel);
 
-/** This entry's own name and zone, by which it finds its part of many engines; copied. */
+/** Sets this entry's own name and zone, which determine its subset of the engines; copied. */
 void en_fleet_set_self (EnFleet *fleet, const char *name, const char *zone);
 void en_fleet_free (EnFleet *fleet);
 
@@ -113,50 +114,50 @@
 
 void en_fleet_apply_members (EnFleet *fleet, const Alderturn__MemberUpdate *update);
 
-/** Takes the states that operators declared for instances, and works out which engine is for what.
- */
+/** Applies the states that operators declared for instances, and recomputes placement. */
 void en_fleet_apply_config (EnFleet *fleet, const CoConfig *config);
 
-/** Learns an endpoint's incarnation from the endpoint itself. */
+/** Notes an incarnation that the endpoint itself reported. */
 void en_fleet_saw_incarnation (EnFleet *fleet, const char *name, guint64 incarnation);
 
-/** The endpoint, or NULL; a NULL name has none. */
+/** Returns the endpoint, or NULL if it is unknown or `name` is NULL. */
 EnEndpoint *en_fleet_find (EnFleet *fleet, const char *name);
 
-/** All endpoints in order of name, as EnEndpoint; owned by the fleet. */
+/** Returns all endpoints (EnEndpoint) sorted by name; owned by the fleet. */
 const GPtrArray *en_fleet_endpoints (const EnFleet *fleet);
 
-/** All entries in order of name, as EnPeer; owned by the fleet. */
+/** Returns all entries (EnPeer) sorted by name; owned by the fleet. */
 const GPtrArray *en_fleet_entries (const EnFleet *fleet);
 
-/** Addresses of the live controllers; free with g_strfreev. */
+/** Returns the addresses of the live controllers; free with g_strfreev(). */
 char **en_fleet_controllers (const EnFleet *fleet);
 
-/** Whether it is an engine for prompts of this service, long ones where `is_long`. */
+/** Whether the endpoint is an engine for prompts of this service; with `is_long`, for long ones. */
 gboolean en_endpoint_is_for (const EnEndpoint *endpoint,
                              const char *label,
                              const char *service,
                              gboolean is_long);
 
-/** Whether new work may go to it: live, not leaving, not drained, not just failed. */
+/** Whether it can get new requests: it is live, neither leaving nor drained, and not in backoff. */
 gboolean en_endpoint_usable (const EnEndpoint *endpoint, KnlTime now);
 
-/** It said that it takes no new work. */
+/** Notes that the endpoint advertised that it is leaving and takes no new work. */
 void en_endpoint_leaves (EnEndpoint *endpoint, KnlTime now);
 
-/** An engine was lost: it gets nothing new before it has answered a report. */
+/** Notes a lost attempt: an engine gets no new work until it has answered again. */
 void en_endpoint_lost (EnEndpoint *endpoint);
 
-/** Notes a failure to reach it or its refusal: it is left alone for a while, longer each time. */
+/** Notes that it was unreachable or refused: starts a backoff that grows with each failure. */
 void en_endpoint_failed (EnEndpoint *endpoint, KnlTime now);
 
+/** Notes that the endpoint accepted a request; ends its backoff. */
 void en_endpoint_worked (EnEndpoint *endpoint);
 
-/** Takes `tokens` and `slots` of `endpoint`. */
+/** Charges `tokens` and `slots` to `endpoint`. */
 EnCharge *en_charge_new (EnEndpoint *endpoint, guint64 tokens, guint slots);
 
-/** Whether the memory behind a charge may still be taken: its endpoint has not restarted. */
+/** Whether the charged memory may still be in use: the endpoint is known and hasn't restarted. */
 gboolean en_charge_valid (const EnCharge *charge, EnFleet *fleet);
 
-/** Gives them back, unless the endpoint has restarted meanwhile, and frees the charge. */
+/** Returns tokens and slots, unless the endpoint has restarted meanwhile, and frees the charge. */
 void en_charge_return (EnCharge *charge, EnFleet *fleet);
--- a/include/entry/front.h
+++ b/include/entry/front.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** The HTTP front towards callers and operators. */
+/** The HTTP server for callers and operators. */
 
 #include "entry/core.h"
 
@@ -11,24 +11,24 @@
 /** Strings must outlive the front. */
 typedef struct
 {
-  const char *address;        /**< "IP:PORT" to listen at; "IP" alone: any free port */
-  const char *operator_token; /**< NULL: operators' views are refused */
-  gsize max_body;             /**< bytes of a request's body */
-  gsize max_headers;          /**< bytes of a request's first line and headers */
-  gsize max_unread;           /**< bytes of an answer that its caller has not read yet */
+  const char *address;        /**< "IP:PORT" to listen on; "IP" alone: any free port */
+  const char *operator_token; /**< NULL: operators' requests are refused */
+  gsize max_body;             /**< bytes of a request's body, at most */
+  gsize max_headers;          /**< bytes of a request line and its headers, at most */
+  gsize max_unread;           /**< bytes of an answer not yet read by its caller, at most */
 } EnFrontSettings;
 
-/** Starts to listen; NULL when the address can't be had. */
+/** Starts to listen; returns NULL if it can't listen on the address. */
 EnFront *en_front_new (KnlKernel *kernel,
                        struct event_base *base,
                        EnCore *core,
                        const EnFrontSettings *settings);
 
-/** Closes all connections; their callers count as gone. */
+/** Closes all connections; their callers count as disconnected. */
 void en_front_free (EnFront *front);
 
-/** The port that it listens at. */
+/** The port that it listens on. */
 guint16 en_front_port (const EnFront *front);
 
-/** Answers that have not been handed to the network in full. */
+/** Number of answers that have not been completely written to the network. */
 guint en_front_open_answers (const EnFront *front);
--- a/include/entry/meters.h
+++ b/include/entry/meters.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** The entry's metrics: what it counts and measures, by workspace and length class. */
+/** The entry's metrics. */
 
 #include "common/metrics.h"
 #include "entry/request.h"
@@ -27,7 +27,7 @@
 EnMeters *en_meters_new (void);
 void en_meters_free (EnMeters *meters);
 
-/** A token came: the first, or a later one; before `last_token_at` is moved on. */
+/** Records the time of a token; to be called before `last_token_at` is updated. */
 void en_meters_token (EnMeters *meters, const EnRequest *request, KnlTime now);
 
 void en_meters_ended (EnMeters *meters, const EnRequest *request, EnOutcome outcome);
--- a/include/entry/records.h
+++ b/include/entry/records.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * The entry's side of idempotency records: asks the holder of a key's shard to
- * make a record durable before an endpoint is contacted, and tells it the
+ * The entry's side of idempotency records: requests that the holder of a key's
+ * shard makes a record durable before an endpoint is contacted, and sends it the
  * outcome afterwards.
  */
 
@@ -10,24 +10,24 @@
 
 typedef struct EnRecords EnRecords;
 
-/** Handle of a call; 0 is none. */
+/** Handle of a begin or finish that is not answered yet; 0: none. */
 typedef guint64 EnRecordCall;
 
-/** The answer to a begin. Strings are valid during the call. */
+/** The answer to a begin. Strings are valid only during the callback. */
 typedef struct
 {
   Alderturn__IdemVerdict verdict;
-  int status; /**< of the stored answer; 0: none was stored */
+  int status; /**< HTTP status of the stored answer; 0: none was stored */
   const char *content_type;
   const char *body;
   gsize body_bytes;
-  const char *attempt; /**< that the record is about */
+  const char *attempt; /**< id of the attempt that the record belongs to */
 } EnRecordVerdict;
 
-/** No answer within the limit comes as REFUSED: nothing of this attempt may run. */
+/** Without an answer within the limit, the verdict is REFUSED: the attempt must not run. */
 typedef void (*EnRecordBegunFunc) (const EnRecordVerdict *verdict, gpointer data);
 
-/** `durable` FALSE: not known to be, within the limit; it is still tried again for a while. */
+/** `durable` FALSE: not confirmed within the limit; sending is still retried for a while. */
 typedef void (*EnRecordFinishedFunc) (gboolean durable, gpointer data);
 
 /** How an attempt ended. Strings are copied. */
@@ -55,18 +55,21 @@
                                EnRecordBegunFunc begun,
                                gpointer data);
 
-/** Tells the outcome; `finished` (may be NULL) hears once, after `limit` at the latest. */
+/** Records the outcome; `finished` (may be NULL) is called once, after `limit` at the latest. */
 EnRecordCall en_records_finish (EnRecords *records,
                                 const EnRecordFinish *finish,
                                 KnlTime limit,
                                 EnRecordFinishedFunc finished,
                                 gpointer data);
 
-/** Gives up on a begin, whose attempt is then recorded as not run, or on hearing of a finish. */
+/**
+ * Abandons a call and sets it to 0. The attempt of a begin is then recorded as not
+ * run; a finish is still sent, but its callback is no longer called.
+ */
 void en_records_abandon (EnRecords *records, EnRecordCall *call);
 
 void en_records_take_begun (EnRecords *records, const Alderturn__IdemReply *reply);
 void en_records_take_finished (EnRecords *records, const Alderturn__IdemFinishReply *reply);
 
-/** Outcomes that are not yet durable. */
+/** Number of outcomes that are not confirmed as durable yet. */
 guint en_records_pending (const EnRecords *records);
--- a/include/entry/reservation.h
+++ b/include/entry/reservation.h
@@ -3,9 +3,10 @@
 /**
  * Memory of several engines for one prompt that none of them can hold alone.
  *
- * All parts are taken at once or none is, so that two entries that want the same
- * engines can't each hold what the other waits for. Then all parts but the last are
- * prefilled and held, and the last engine generates with them as imports.
+ * Either all parts are acquired at once or none, so that two entries that want the
+ * same engines can't deadlock, each holding what the other waits for. Then all
+ * parts except the last are prefilled and held, and the last engine decodes with
+ * them as imports.
  */
 
 #include "entry/attempt.h"
@@ -16,15 +17,16 @@
 typedef struct
 {
   /**
-   * All parts but the last are held, `imports` names them (NULL: there is one part
-   * only). The last engine's charge goes over to the callee.
+   * All parts except the last are held. `imports` is a JSON array that names them;
+   * NULL: there is only one part. The callee gets ownership of `charge`, the last
+   * engine's.
    */
   void (*on_held) (EnReservation *reservation,
                    const char *last_endpoint,
                    EnCharge *charge,
                    const char *imports,
                    gpointer data);
-  /** A part was lost; the reservation is to be freed by the callee. */
+  /** A part was lost; the callee must free the reservation. */
   void (*on_lost) (EnReservation *reservation, const EnLoss *loss, gpointer data);
 } EnReservationEvents;
 
@@ -37,10 +39,10 @@
 } EnReservationHost;
 
 /**
- * Plans parts over the first of `engines` (EnEndpoint, in order of preference) that
- * have enough for `prefill` tokens of prompt and `answer` tokens after it. NULL: all
- * of them together do not have that much. `part` is the part of an engine's memory
- * that is taken at most.
+ * Plans parts on the first of `engines` (EnEndpoint, in order of preference) that
+ * together have enough for `prefill` prompt tokens and `answer` answer tokens.
+ * `part` is the largest fraction of an engine's memory that a part may use.
+ * Returns NULL if all engines together don't have that much.
  */
 EnReservation *en_reservation_new (const EnReservationHost *host,
                                    const GPtrArray *engines,
@@ -48,31 +50,33 @@
                                    guint64 prefill,
                                    guint64 answer);
 
-/** Gives back all that is taken and cancels all that is held. */
+/** Returns all charges, cancels all attempts, and frees it. */
 void en_reservation_free (EnReservation *reservation);
 
-/** Takes further parts while there is room; TRUE when it has all. */
+/** Charges all parts if every engine has free capacity for its part; FALSE: charges none. */
 gboolean en_reservation_acquire (EnReservation *reservation);
 
-/** Tokens that it still lacks at `endpoint`; 0: none. */
+/** Tokens that it has not been able to acquire at `endpoint` yet; 0: none. */
 guint64 en_reservation_wants (const EnReservation *reservation, const char *endpoint);
 
-/** Engines that it takes a part of; one may be enough. */
+/** Number of parts, each on another engine; may be 1. */
 guint en_reservation_parts (const EnReservation *reservation);
 
-/** When it was planned; one that has waited too long is to be freed. */
+/** Time at which it was planned; the caller frees one that has waited too long. */
 KnlTime en_reservation_started (const EnReservation *reservation);
 
 /**
- * Prefills and holds the parts; `start` describes the whole, `next_id` gives attempts'
- * ids. Of one part it tells `on_held` at once, which may free the reservation.
+ * Prefills and holds the parts of an acquired reservation. `start` describes the
+ * request as a whole; `next_id` returns the id of an attempt, to be freed with
+ * g_free(). With a single part, calls `on_held` immediately, which may free the
+ * reservation.
  */
 void en_reservation_start (EnReservation *reservation,
                            const EnAttemptStart *start,
                            char *(*next_id) (gpointer data));
 
-/** Whether it has a part at `endpoint`. */
+/** Whether an attempt of a part runs or is held at `endpoint`. */
 gboolean en_reservation_uses (const EnReservation *reservation, const char *endpoint);
 
-/** The engine has restarted: its part is gone. */
+/** Notes that an engine has restarted: the part held there is lost. */
 void en_reservation_engine_restarted (EnReservation *reservation, const char *endpoint);
--- a/include/entry/uplink.h
+++ b/include/entry/uplink.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * The entry's link to a controller: the local one, or, while that is gone or
- * silent, any other that the entry has learned of.
+ * The entry's link to a controller: the local controller or, while that is
+ * unreachable or silent, any other known controller.
  */
 
 #include "wire/link.h"
@@ -11,7 +11,7 @@
 
 typedef struct
 {
-  /** A link to a controller is open; what depends on it is asked for anew. */
+  /** A link to a controller has opened; state that depends on it has to be requested again. */
   void (*on_up) (gpointer data);
   void (*on_down) (gpointer data);
   void (*on_frame) (const Alderturn__Frame *frame, gpointer data);
@@ -19,11 +19,11 @@
 
 typedef struct
 {
-  /** Sends on the open link; without one the frame is dropped. */
+  /** Sends on the open link; drops the frame while there is none. */
   void (*send) (EnUplink *uplink, const Alderturn__Frame *frame);
   gboolean (*is_up) (EnUplink *uplink);
   void (*set_events) (EnUplink *uplink, const EnUplinkEvents *events, gpointer data);
-  /** The controllers' addresses as members have them; the array is copied. */
+  /** Sets the NULL-terminated addresses of all known controllers; the array is copied. */
   void (*set_others) (EnUplink *uplink, const char *const *addresses);
   void (*free) (EnUplink *uplink);
 } EnUplinkClass;
@@ -33,7 +33,7 @@
   const EnUplinkClass *klass;
 };
 
-/** An uplink over `transport`, which must outlive it; starts to connect with set_events(). */
+/** Creates an uplink over `transport`, which must outlive it; connects once events are set. */
 EnUplink *en_uplink_new (KnlKernel *kernel, WrTransport *transport, const char *local_address);
 
 static inline void
--- a/tests/unit/en_framing_test.c
+++ b/tests/unit/en_framing_test.c
@@ -1,5 +1,7 @@
-/** Requests as raw bytes at the entry's HTTP front: what is refused, how that is said, and what is
- * not waited for. */
+/**
+ * Raw bytes sent to the entry's HTTP front: which requests are refused, with which
+ * answers, and which time limits apply.
+ */
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -14,7 +16,7 @@
 #include "suite.h"
 #include "tests/unit/en_test_uplink.h"
 
-/* Only a stop against hanging, on the machine's clock. */
+/* Ends a test that hangs; in real time. */
 #define STUCK_S 20
 
 #define MAX_BODY 1000
@@ -156,7 +158,7 @@
     event_base_loop (self->base, EVLOOP_ONCE);
 }
 
-/* All that is under way has come; the paused clock is not asked. */
+/* Delivers all bytes in transit, without advancing the paused clock. */
 static void
 settle (Site *self)
 {
@@ -175,17 +177,16 @@
 {
   const char *name;
   const char *bytes;
-  const char *answer; /* how it begins */
-  const char *said;   /* in its body */
+  const char *answer; /* start of the answer */
+  const char *said;   /* text in its body */
 } Row;
 
 /*
- * Symptom: two parties take one series of bytes for different requests, or a
- * caller's JSON reader fails on an error page.
- * Sequence: a caller sends a head that readers end at different places, or too
- * much.
- * Cause: the front took lengths that contradict each other, names with a space
- * before the colon, and bare line feeds; its library answered in HTML.
+ * Request smuggling, and error answers that aren't JSON. The front accepted
+ * contradictory lengths, header names with a space before the colon, and bare line
+ * feeds, so that two servers could split the same bytes into different requests.
+ * Malformed or too large requests were answered by the HTTP library in HTML, which
+ * callers' JSON parsers reject.
  */
 #define NOT_CLEAR "\"message\":\"this is no HTTP request, or its end is not clear\""
 #define HEALTHY   "\r\n\r\nok\n"
@@ -263,15 +264,14 @@
   const char *name;
   const char *bytes;  /* sent at once */
   const char *more;   /* sent every second; NULL: nothing */
-  guint seconds;      /* by which the connection has ended, and not long before */
-  const char *answer; /* NULL: it ends without a word */
+  guint seconds;      /* after which the connection ends, at most 2 s later */
+  const char *answer; /* NULL: it ends without an answer */
 } SlowRow;
 
 /*
- * Symptom: connections run out.
- * Sequence: a caller sends a line of a head, or a byte of a body, every second,
- * or nothing at all.
- * Cause: each byte began the time limit again.
+ * Slow callers must not exhaust the connections: a caller that sends a header line
+ * or a byte of the body every second, or nothing at all, is disconnected. The fault
+ * was that each received byte restarted the time limit.
  */
 static const SlowRow slow_rows[] = {
   { "a head", "GET /healthz HTTP/1.1\r\n", "X: y\r\n", 10, "HTTP/1.1 408 " },
@@ -309,11 +309,9 @@
 }
 
 /*
- * Symptom: a caller sees its connection reset and never learns that its prompt
- * is too large.
- * Sequence: it is refused by its head and goes on sending the body.
- * Cause: a connection that is closed with unread bytes is reset, and the reset
- * overtakes the answer.
+ * A caller must get the 413 answer although it is still sending the body when its
+ * headers are refused. Closing a connection with unread bytes resets it, and the
+ * reset can overtake the answer.
  */
 static void
 test_refusal_beside_unread_bytes (void)
@@ -336,9 +334,8 @@
 }
 
 /*
- * Symptom: each long prompt begins a second late.
- * Sequence: the caller sends the head and waits for leave to send the body.
- * Cause: nobody gives it.
+ * Expect: 100-continue must be answered. Without that the caller waits, and each
+ * long prompt is sent a second late.
  */
 static void
 test_body_that_waits_for_leave (void)
@@ -355,7 +352,10 @@
   CU_ASSERT_TRUE (wait_for (site, "\r\n\r\nok\n"));
 }
 
-/* Whoever closes only its sending side counts as one that has left: of a close, no more is seen. */
+/*
+ * A caller that closes only its sending side counts as disconnected, as the server
+ * can't distinguish this from a full close.
+ */
 static void
 test_half_closed (void)
 {
@@ -373,8 +373,8 @@
 static const SuiteCase cases[] = {
   { "raw requests", test_rows },
   { "slow callers", test_slow_callers },
-  { "a refusal beside unread bytes", test_refusal_beside_unread_bytes },
-  { "a body that waits for leave", test_body_that_waits_for_leave },
+  { "a refusal with unread bytes", test_refusal_beside_unread_bytes },
+  { "a body that waits for 100 Continue", test_body_that_waits_for_leave },
   { "a half-closed connection", test_half_closed },
 };
 
--- a/tests/unit/en_front_test.c
+++ b/tests/unit/en_front_test.c
@@ -1,5 +1,4 @@
-/** The HTTP front and the HTTP client for engines, over loopback: an engine that says what it is
- * told. */
+/** The HTTP front and the HTTP client for engines, over loopback, with a scripted engine. */
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -14,7 +13,7 @@
 #include "suite.h"
 #include "tests/unit/en_test_uplink.h"
 
-/* Only a stop against hanging. */
+/* Ends a test that hangs. */
 #define GUARD (20 * KNL_SEC)
 
 typedef struct
@@ -29,7 +28,7 @@
   EnFront *front;
   struct evhttp *engine;
   char engine_address[32];
-  const char *script; /* of the engine: lines with R for the request's id; NULL: no answer */
+  const char *script; /* the engine's answer, R stands for the request's id; NULL: no answer */
   int engine_status;
   guint cancels;
 } Site;
@@ -153,7 +152,7 @@
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (Site, site_free)
 
-/* Runs the loop until `text` has come or, with `text` NULL, `count` has reached 1. */
+/* Runs the loop until `text` was received or, with `text` NULL, `count` is above 0. */
 static gboolean
 run_until (Site *site, const GString *got, const char *text, const guint *count)
 {
@@ -216,7 +215,7 @@
   const char *name;
   const char *head;
   const char *body;
-  const char *expected; /* in the answer */
+  const char *expected; /* text in the answer */
 } AnswerCase;
 
 static const AnswerCase answer_cases[] = {
@@ -269,9 +268,9 @@
 }
 
 /*
- * Symptom: an engine works on for a caller that has closed its connection.
- * Sequence: the caller closes while the engine has not said anything yet.
- * Cause: a server that reads no more once it has the request sees no close.
+ * An engine must not keep running a request whose caller has closed the connection
+ * before the engine answered. A server that stops reading once it has the request
+ * doesn't notice the close.
  */
 static void
 test_a_caller_that_leaves (void)
@@ -299,9 +298,9 @@
 }
 
 /*
- * Symptom: one caller ends the process for all.
- * Sequence: it sends its next request while the first one is worked on.
- * Cause: a reader that does not expect bytes while it writes.
+ * A caller that sends its next request before the first one is answered must not
+ * crash the process. The fault was a parser that didn't expect bytes while an answer
+ * was being written.
  */
 static void
 test_a_caller_that_does_not_wait (void)
@@ -328,7 +327,7 @@
   const char *script;
   EpFailureKind kind;
   gboolean leaving;
-  guint64 tokens; /* that came before */
+  guint64 tokens; /* received before the failure */
 } StreamCase;
 
 static const StreamCase stream_cases[] = {
@@ -383,16 +382,16 @@
 static const EpStreamEvents stream_events = { on_accepted, on_tokens, on_end, on_failed };
 
 /*
- * Symptom: what ran is reported as not run, or half an answer as whole.
- * Sequence: the engine refuses, breaks off, or says what it must not.
- * Cause: the client's verdict on a connection is wrong.
+ * The client must classify failed streams correctly: an attempt that ran must not
+ * be reported as not run, nor a partial answer as complete, when the engine
+ * refuses, breaks off or violates the protocol.
  */
 static void
 test_streams_that_fail (void)
 {
   for (guint i = 0; i <= G_N_ELEMENTS (stream_cases); i++)
     {
-      static const StreamCase nobody = { "nobody listens", 0, NULL, EP_NOT_SENT, FALSE, 0 };
+      static const StreamCase nobody = { "no listener", 0, NULL, EP_NOT_SENT, FALSE, 0 };
       const StreamCase *c = i < G_N_ELEMENTS (stream_cases) ? &stream_cases[i] : &nobody;
       Heard heard = { 0 };
       EpGenerate generate = { .request = "R~1~1",
@@ -422,7 +421,7 @@
 
 static const SuiteCase cases[] = {
   { "answers by HTTP", test_answers },
-  { "a caller that leaves is noticed", test_a_caller_that_leaves },
+  { "a disconnect of the caller is noticed", test_a_caller_that_leaves },
   { "a caller that does not wait for its answer", test_a_caller_that_does_not_wait },
   { "an engine's streams that fail", test_streams_that_fail },
 };
--- a/tests/unit/en_test_uplink.c
+++ b/tests/unit/en_test_uplink.c
@@ -77,7 +77,7 @@
     answer (self, ALDERTURN__FRAME__BODY_IDEM_FINISH_REPLY, &reply);
 }
 
-/* Frames that ask are answered by a timer's way round, as no callback runs inside a send. */
+/* Requests are answered from a timer, as no callback may run inside a send. */
 typedef struct
 {
   EnTestUplink *uplink;
--- a/tests/unit/en_test_uplink.h
+++ b/tests/unit/en_test_uplink.h
@@ -1,10 +1,10 @@
 #pragma once
 
-/** A controller that tests script, in place of an entry's uplink. */
+/** A scripted controller in place of an entry's uplink. */
 
 #include "entry/uplink.h"
 
-/** What the scripted controller does with a frame that asks for something. */
+/** How the scripted controller answers requests, and what it has received. */
 typedef struct
 {
   EnUplink base;
@@ -14,10 +14,10 @@
   gpointer data;
   gboolean down;
   gboolean grants;        /**< answers credit requests with all of each engine */
-  gboolean ignores_begin; /**< answers no IdemBegin */
+  gboolean ignores_begin; /**< doesn't answer IdemBegin */
   gboolean ignores_finish;
   Alderturn__IdemVerdict verdict;
-  const char *stored; /**< body that goes with DONE */
+  const char *stored; /**< body of the stored answer; NULL: none */
   guint64 fence;
   guint begins;
   guint finishes;
@@ -26,18 +26,18 @@
   GString *last_body;
   GArray *crashes; /**< fingerprints of all crash reports */
   Alderturn__EntryStatus last_status;
-  guint64 wanted_tokens; /**< of the last credit request, all engines together */
+  guint64 wanted_tokens; /**< sum over all engines in the last credit request */
 } EnTestUplink;
 
-/** Takes everything: grants all of each engine, lets every record run. */
+/** Initially grants all of each engine and answers each IdemBegin with RUN. */
 void en_test_uplink_init (EnTestUplink *uplink, KnlKernel *kernel);
 void en_test_uplink_clear (EnTestUplink *uplink);
 
-/** Sets or (fields NULL) removes an object. */
+/** Pushes a configuration object; `fields` NULL: removes it. */
 void en_test_uplink_declare (EnTestUplink *uplink,
                              const char *kind,
                              const char *name,
                              const char *fields);
 
-/** Tells of one member; with `full` it is the only one. */
+/** Sends an update with one member; `full`: it is the only member. */
 void en_test_uplink_member (EnTestUplink *uplink, Alderturn__Member *member, gboolean full);
--- a/tests/unit/en_uplink_test.c
+++ b/tests/unit/en_uplink_test.c
@@ -1,4 +1,4 @@
-/** An entry's link to a controller: the local one, another one meanwhile, and back. */
+/** An entry's link to a controller: fails over from the local one to another, and back. */
 
 #include "entry/uplink.h"
 #include "kernel/paused.h"
@@ -13,7 +13,7 @@
 {
   WrIdentity identity;
   WrTransport *transport;
-  guint frames; /* that came here */
+  guint frames; /* received */
 } Controller;
 
 typedef struct
@@ -128,7 +128,7 @@
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (Site, site_free)
 
-/* Sends a frame; 0 or 1: the controller that it came to, -1: neither. */
+/* Sends a frame; returns the index of the controller that received it, or -1. */
 static int
 reached (Site *site)
 {
@@ -147,9 +147,9 @@
 
 typedef enum
 {
-  LOSE_REFUSED, /* its process is gone */
-  LOSE_SILENT,  /* the link is silent for good; new ones are not answered either */
-  LOSE_FROZEN,  /* the link is silent for good, new ones work */
+  LOSE_REFUSED, /* its process has ended: connections are refused */
+  LOSE_SILENT,  /* the link stays silent, and new ones aren't answered either */
+  LOSE_FROZEN,  /* the link stays silent, but new ones work */
 } Loss;
 
 static void
@@ -164,9 +164,9 @@
 }
 
 /*
- * Symptom: an entry goes on for long without grants, records and configuration.
- * Sequence: its local controller is gone or silent, and comes back.
- * Cause: only the local one is tried, or the entry stays with the other one.
+ * An entry must not stay without grants, records and configuration when its local
+ * controller fails or becomes silent, and must return to it afterwards. Faults: only
+ * the local controller is tried, or the entry stays with the other one.
  */
 static void
 test_local_controller_lost_and_back (void)
--- a/tests/unit/engine_orders_test.c
+++ b/tests/unit/engine_orders_test.c
@@ -1,4 +1,5 @@
-/** Orders to engines, the weights they then fetch, and plain services, on the fleet in memory. */
+/** Orders to engines, the weights that they load for them, and plain services, on the fake fleet.
+ */
 
 #include "suite.h"
 
@@ -14,7 +15,7 @@
   KnlKernel *kernel;
   FkFleet *fleet;
   EpClient *client;
-  guint failures[5]; /* of service calls, by kind; the last counts answers */
+  guint failures[5]; /* of service calls, by kind; EP_MALFORMED counts answers */
 } Fixture;
 
 static Fixture
@@ -82,9 +83,9 @@
 }
 
 /*
- * Symptom: models are moved to and fro as if that cost nothing.
- * Sequence: two engines get orders at once; one gets another a second later.
- * Cause reproduced here: the store's rate is shared, and a given-up download has taken its part.
+ * Loading weights must cost time, or tests would miss placements that switch models
+ * too often. Two engines get orders at the same time, one of them another a second
+ * later: they share the store's rate, and an abandoned download has used its share.
  */
 static void
 test_weights_share_the_rate_of_the_store (void)
@@ -93,9 +94,9 @@
   {
     double rate;
     gboolean again;
-    KnlTime ready[2]; /* seconds, of either engine */
+    KnlTime ready[2]; /* seconds, one for each engine */
   } rows[] = {
-    { 14e9, FALSE, { 5, 5 } }, /* the least time to load */
+    { 14e9, FALSE, { 5, 5 } }, /* the minimum load time */
     { 2e9, FALSE, { 7, 14 } },
     { 2e9, TRUE, { 21, 14 } },
   };
