--- a/entry/crash.c
+++ b/entry/crash.c
@@ -1,5 +1,4 @@
-/** Crashes of engines: reports the requests that were running there, and retries or refuses them.
- */
+/** Crashes of engines: reports the requests that ran there, and retries or refuses them. */
 
 #include <string.h>
 
--- a/entry/drain.c
+++ b/entry/drain.c
@@ -10,8 +10,7 @@
 /* Added to the cache time for callers' clocks and the delay until other entries see the change. */
 #define KEEP_MARGIN (2 * KNL_SEC)
 
-/* Shortest time for which it answers with a refusal and the new list, even if nothing still runs.
- */
+/* Shortest time for which it refuses requests and sends the new list, even if nothing runs. */
 #define REFUSE_AT_LEAST (500 * KNL_MSEC)
 
 /*
--- a/entry/engine.c
+++ b/entry/engine.c
@@ -1,5 +1,4 @@
-/** Attempts at engines: handles their events, and retries or ends requests whose attempt was lost.
- */
+/** Attempts at engines: handles their events, and retries or ends requests after a loss. */
 
 #include "common/log.h"
 #include "entry/core_internal.h"
--- a/entry/main.c
+++ b/entry/main.c
@@ -14,8 +14,7 @@
 
 #define PROGRAM "alderturn-entry"
 
-/* Interval at which a drained process checks whether the last answers were written to the network.
- */
+/* Interval at which a drained process checks whether all answers were written to the network. */
 #define FLUSH_INTERVAL (50 * KNL_MSEC)
 #define FLUSH_LIMIT    (10 * KNL_SEC)
 
--- a/entry/records.c
+++ b/entry/records.c
@@ -7,8 +7,7 @@
 #define RETRY_FIRST (200 * KNL_MSEC)
 #define RETRY_LIMIT (2 * KNL_SEC)
 
-/* If no holder accepts the outcome for so long, the record stays begun and reads "unknown" later.
- */
+/* If no holder accepts the outcome by then, the record stays begun and reads "unknown" later. */
 #define FINISH_GIVE_UP (60 * KNL_SEC)
 
 struct EnRecords
--- a/tests/unit/en_framing_test.c
+++ b/tests/unit/en_framing_test.c
@@ -142,7 +142,7 @@
   bufferevent_write (self->caller, bytes, strlen (bytes));
 }
 
-/* Runs the loop until `text` has come, or the connection has ended. */
+/* Runs the loop until `text` was received, or the connection has ended. */
 static gboolean
 wait_for (Site *self, const char *text)
 {
--- a/tests/unit/engine_orders_test.c
+++ b/tests/unit/engine_orders_test.c
@@ -1,5 +1,4 @@
-/** Orders to engines, the weights that they load for them, and plain services, on the fake fleet.
- */
+/** Orders to engines, the weights that they load for these, and plain services; fake fleet. */
 
 #include "suite.h"
 
