--- a/common/histogram.c
+++ b/common/histogram.c
@@ -6,7 +6,7 @@
 #define SUB_BUCKETS    (1u << SUB_BITS)
 #define FIRST_CAPACITY 4
 
-/* Values below SUB_BUCKETS have a bucket each; from there on each power of two has SUB_BUCKETS. */
+/* Values below SUB_BUCKETS have a bucket each; above, each power of two has SUB_BUCKETS buckets. */
 static guint16
 bucket_index (guint64 value)
 {
@@ -38,7 +38,7 @@
   return bucket_start (index) + (((guint64)1 << (index / SUB_BUCKETS - 1)) >> 1);
 }
 
-/* Place of the first bucket that is not below `index`. */
+/* Position of the first bucket whose index is `index` or higher; binary search. */
 static guint32
 find_place (const CmHistogram *histogram, guint16 index)
 {
--- a/common/log.c
+++ b/common/log.c
@@ -9,19 +9,18 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Lines a second at most on standard output, less severe than a warning; a request takes one to
- * three. */
+/* Lines less severe than a warning on standard output, per second; a request logs one to three. */
 #define LINES_PER_SECOND 400
 
-/* Lines of a CmLogLimit are written this often at most, us. */
+/* Minimum time between two lines of one CmLogLimit, us. */
 #define LIMITED_INTERVAL 1000000
 
-/* A pipe that is writable takes this much without blocking (PIPE_BUF). */
+/* A write of up to PIPE_BUF bytes to a pipe that poll() reports as writable does not block. */
 #define LINE_BYTES 4096
 
 /*
- * The one piece of process-wide state: standard error is process-wide too, and
- * a log line must be possible from any depth without threading a handle.
+ * The only process-wide state of the library. Standard error is process-wide too,
+ * and code at any depth must be able to log without being passed a handle.
  */
 static struct
 {
@@ -32,7 +31,7 @@
   gpointer sink_data;
   guint64 invariant_failures;
   gboolean to_stdout;
-  gint64 second; /* the one that `lines` is of */
+  gint64 second; /* the second in which `lines` are counted */
   guint lines;
   guint64 dropped;
 } logger = { .program = "alderturn", .limit = CM_LOG_INFO };
--- a/common/metrics.c
+++ b/common/metrics.c
@@ -9,7 +9,7 @@
 struct CmSeries
 {
   const CmMetric *metric;
-  char *labels; /* as rendered, without braces; "" when there are none */
+  char *labels; /* as rendered, without braces; "" for none */
   union
   {
     double value;
@@ -155,9 +155,9 @@
 
   if (series != NULL)
     return series;
-  /* Label values come from outside. Without a bound a caller that invents names would grow the
-   * program's memory and every scrape; one would see it in cm_metrics_bytes. The first label
-   * gives way alone, so that classes and outcomes stay told apart, until those too are too many. */
+  /* Label values come from requests. Without a bound, a caller that sends ever new names would
+   * grow memory (visible in cm_metrics_bytes()) and every scrape. At the bound only the first label
+   * is replaced, so that classes and outcomes stay distinct; at twice the bound all labels are. */
   if (g_hash_table_size (metric->series) >= bound)
     values[0] = CM_METRIC_OTHER;
   if (g_hash_table_size (metric->series) >= 2 * bound)
@@ -227,8 +227,8 @@
                           series->labels[0] != '\0' ? "," : "", le, count);
 }
 
-/* Prometheus' buckets count values up to and with the bound, ours those below it: for whole
- * microseconds that is a difference of one microsecond. */
+/* Prometheus' buckets include their upper bound, these buckets exclude it: with values in whole
+ * microseconds the difference is one microsecond. */
 static void
 append_histogram (GString *text, const CmSeries *series)
 {
--- a/common/retry.c
+++ b/common/retry.c
@@ -12,8 +12,7 @@
     delay *= 2;
   delay = MIN (delay, backoff->limit);
   backoff->retries++;
-  /* Callers that failed together would retry together, again and again, and meet as one wave each
-   * time; the random half spreads them. */
+  /* Without jitter, clients that failed at the same time would also retry at the same time. */
   return delay / 2 + (KnlTime)(g_rand_double (knl_kernel_rand (kernel)) * (double)delay / 2);
 }
 
--- a/common/settings.c
+++ b/common/settings.c
@@ -10,7 +10,7 @@
 
 #define VARIABLE_PREFIX "ALDERTURN_"
 
-/* Read by the log module, not a setting of any one program. */
+/* Read by the log module and accepted by every program; not a setting. */
 #define VARIABLE_INVARIANTS "ALDERTURN_INVARIANTS"
 
 static char *
@@ -164,11 +164,12 @@
 
 typedef struct
 {
-  char *text;     /* for settings that take a value */
-  gboolean given; /* for bare flags */
+  char *text;     /* value of the flag; NULL if not given */
+  gboolean given; /* for flags without a value */
 } FlagValue;
 
-/* Unknown flags stay in argv, so that all of them are found and not only the first. */
+/* The option parser is told to leave unknown flags in argv, so that all of them are reported, not
+ * only the first. */
 static void
 collect_unknown_flags (char **argv, char ***rest, CmFindings *findings)
 {
@@ -217,7 +218,7 @@
   g_strfreev (names);
 }
 
-/* What --help says of a setting; free with g_free. */
+/* The text of a setting in --help; free with g_free. */
 static char *
 setting_description (const CmSetting *setting)
 {
@@ -226,7 +227,7 @@
   return g_strdup_printf ("%s (default %s)", setting->help, setting->fallback);
 }
 
-/* `descriptions` must outlive the context, which only points to them. */
+/* `descriptions` receives strings that the context refers to, so it must outlive the context. */
 static GOptionContext *
 build_context (const CmSetting *table,
                const char *summary,
--- a/include/common/findings.h
+++ b/include/common/findings.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * Findings: everything wrong with an input, collected with its place and
- * reported together, so that one run shows a user all there is to mend.
+ * Findings: all errors in an input, each with its location. They are collected
+ * and reported together, so that one run shows the user every error.
  */
 
 #include <glib.h>
@@ -10,13 +10,13 @@
 typedef struct
 {
   char *source; /**< a file's name, "flag", "environment", "command" */
-  guint line;   /**< from 1; 0 where lines mean nothing */
-  guint column; /**< from 1, in characters; 0 where columns mean nothing */
+  guint line;   /**< from 1; 0: the source has no lines */
+  guint column; /**< from 1, in characters; 0: the source has no columns */
   char *where;  /**< the setting, object or field, such as "workspace a.weight"; may be NULL */
-  char *text;   /**< what is wrong and what would be right */
+  char *text;   /**< what is wrong and what is expected */
 } CmFinding;
 
-/** A list of findings in the order of their discovery. */
+/** A list of findings in the order in which they were added. */
 typedef struct
 {
   GPtrArray *items; /**< CmFinding */
@@ -37,12 +37,11 @@
 guint cm_findings_count (const CmFindings *findings);
 const CmFinding *cm_findings_get (const CmFindings *findings, guint index);
 
-/** "source:line:column: where: text" for one finding, without the parts it lacks; free with g_free.
- */
+/** "source:line:column: where: text"; unset parts are left out. Free with g_free. */
 char *cm_finding_to_string (const CmFinding *finding);
 
-/** All findings, one a line. */
+/** All findings, one per line; free with g_free. */
 char *cm_findings_to_string (const CmFindings *findings);
 
-/** Writes all findings to standard error, one a line; FALSE: there were none. */
+/** Writes all findings to standard error, one per line; FALSE if there are none. */
 gboolean cm_findings_report (const CmFindings *findings);
--- a/include/common/histogram.h
+++ b/include/common/histogram.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /**
- * A log-linear histogram of whole numbers: 32 buckets for each power of two,
- * so that a quantile is off by at most 1/64 of its value. Only buckets that
- * were hit take memory, 8 bytes each.
+ * A log-linear histogram of integers: 32 buckets per power of two, so that the
+ * error of a quantile is at most 1/64 of its value. Only non-empty buckets take
+ * memory, 8 bytes each.
  */
 
 #include <glib.h>
@@ -24,19 +24,19 @@
   guint64 max;
 } CmHistogram;
 
-/** Zeroed memory is an empty histogram; this frees its buckets and makes it one again. */
+/** Frees the buckets and leaves an empty histogram. Zeroed memory is an empty histogram too. */
 void cm_histogram_clear (CmHistogram *histogram);
 
 void cm_histogram_record (CmHistogram *histogram, guint64 value);
 
-/** Adds all that `from` has recorded to `into`. */
+/** Adds all values recorded in `from` to `into`. */
 void cm_histogram_merge (CmHistogram *into, const CmHistogram *from);
 
-/** The value below which the part `quantile` (0 to 1) of all values lies; 0 when it is empty. */
+/** The value at `quantile` (0 to 1, clamped), within the error bound; 0 if empty. */
 guint64 cm_histogram_quantile (const CmHistogram *histogram, double quantile);
 
-/** How many values lie below `limit`; exact when that is a power of two. */
+/** Number of values below `limit`; exact if `limit` is a power of two. */
 guint64 cm_histogram_count_below (const CmHistogram *histogram, guint64 limit);
 
-/** Memory that it takes, in bytes. */
+/** Memory used, the struct included, in bytes. */
 gsize cm_histogram_bytes (const CmHistogram *histogram);
--- a/include/common/log.h
+++ b/include/common/log.h
@@ -1,10 +1,10 @@
 #pragma once
 
 /**
- * Log lines: one JSON object a line on standard error, with syslog's severities.
+ * Logging: one JSON object per line on standard error, with syslog's severities.
  *
  * Each line carries "time" (ISO 8601, UTC), "severity", "program", "instance",
- * "event" (a short constant) and the fields given.
+ * "event" (a short constant) and the caller's fields.
  */
 
 #include <glib.h>
@@ -22,39 +22,41 @@
 } CmLogSeverity;
 
 /**
- * Sends lines to standard output from now on, without ever blocking: a line that
- * its reader has no room for, or beyond a bounded number a second, is dropped,
- * and the next line that goes out is preceded by one that counts those.
+ * Switches logging to standard output and never blocks on it. A line is dropped
+ * when the output isn't writable or when the rate limit for lines less severe
+ * than a warning is exceeded. The next line written is preceded by one with the
+ * number of lines dropped.
  */
 void cm_log_to_stdout (void);
 
-/** Where lines go when not to standard error; tests collect them. */
+/** Receives log lines in place of standard error; used by tests. */
 typedef void (*CmLogSink) (const char *line, gpointer data);
 
-/** Names the program and instance in every later line and drops lines less severe than `limit`. */
+/** Sets the program and instance of every later line; lines less severe than `limit` are dropped.
+ */
 void cm_log_init (const char *program, const char *instance, CmLogSeverity limit);
 
-/** Sends lines to `sink` (without the line end); NULL restores standard error. */
+/** Sends lines, without a newline, to `sink`; NULL removes the sink. */
 void cm_log_set_sink (CmLogSink sink, gpointer data);
 
-/** Lines of one kind that others can cause at will; zeroed at first. */
+/** Rate limit for a log event that remote input can trigger; zero-initialized. */
 typedef struct
 {
-  gint64 logged_at; /**< when the last of them was written, us */
-  gint64 count;     /**< all of them, written or not */
+  gint64 logged_at; /**< when a line was last allowed, us */
+  gint64 count;     /**< occurrences, logged or not */
 } CmLogLimit;
 
-/** Counts one; whether it may be written: one a second at most. `now`: on the caller's clock, us.
- */
+/** Counts an occurrence. TRUE if it may be logged: at most one per second. `now`: on the caller's
+ * clock, us. */
 gboolean cm_log_limit (CmLogLimit *limit, gint64 now);
 
-/** Reads a severity's syslog name ("warning"); FALSE when there is none of that name. */
+/** Parses a severity's syslog name, such as "warning"; FALSE if the name is unknown. */
 gboolean cm_log_severity_parse (const char *name, CmLogSeverity *severity);
 
 /**
- * Writes one line. After `event` come triples of a type letter, a field name
- * and a value: "s" const char * (left out when NULL), "i" gint64, "f" double,
- * "b" gboolean; a NULL type ends the list. Use cm_log(), which adds that NULL.
+ * Writes one line. `event` is followed by triples of type letter, field name and
+ * value: "s" const char * (the field is omitted if NULL), "i" gint64, "f" double,
+ * "b" gboolean. A NULL type ends the list; cm_log() adds it.
  */
 void cm_log_fields (CmLogSeverity severity, const char *event, ...) G_GNUC_NULL_TERMINATED;
 
@@ -62,14 +64,14 @@
   cm_log_fields ((severity), (event), ##__VA_ARGS__, (char *)NULL)
 
 /**
- * An invariant of the running program. When `condition` does not hold it is
- * logged and counted (cm_invariant_failures()); it aborts when the environment
- * has ALDERTURN_INVARIANTS=fatal, as all tests have.
+ * Checks an invariant of the running program and evaluates to whether it holds.
+ * A failure is logged and counted (cm_invariant_failures()). It aborts the process
+ * if the environment has ALDERTURN_INVARIANTS=fatal, which all tests set.
  */
 #define cm_invariant(condition, name)                                                              \
   ((condition) ? TRUE : (cm_invariant_failed ((name), G_STRLOC), FALSE))
 
 void cm_invariant_failed (const char *name, const char *place);
 
-/** How many invariants have failed in this process. */
+/** Number of invariant failures in this process. */
 guint64 cm_invariant_failures (void);
--- a/include/common/socket.h
+++ b/include/common/socket.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/** What is asked of sockets in more than one place. */
+/** Helpers for sockets. */
 
 #include <glib.h>
 
-/** The port that a bound socket has; 0: it has none. */
+/** The local port of a bound IPv4 or IPv6 socket, in host byte order; 0 on failure. */
 guint16 cm_socket_port (int socket);
--- a/include/kernel/paused.h
+++ b/include/kernel/paused.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * A clock that stands still until a test advances it. Any number of kernels
- * run on one such clock, each through a runtime of its own, in one fixed order.
+ * A clock for tests that advances only on request. Any number of kernels can run
+ * on one clock, each with its own runtime, in a deterministic order.
  */
 
 #include "kernel/kernel.h"
@@ -11,27 +11,28 @@
 
 KnlPausedClock *knl_paused_clock_new (void);
 
-/** Frees the clock and its runtimes; their kernels must be gone. */
+/** Frees the clock and its runtimes; their kernels must be freed before. NULL is ignored. */
 void knl_paused_clock_free (KnlPausedClock *clock);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (KnlPausedClock, knl_paused_clock_free)
 
-/** A runtime on this clock, owned by the clock. */
+/** Creates a runtime on this clock; owned by the clock. */
 KnlRuntime *knl_paused_clock_runtime (KnlPausedClock *clock);
 
 KnlTime knl_paused_clock_now (const KnlPausedClock *clock);
 
-/** Moves time on by `delta`, stopping at each wake-up on the way to run its kernel. */
+/** Advances time by `delta` and runs each kernel at its wake-up times on the way. */
 void knl_paused_clock_advance (KnlPausedClock *clock, KnlTime delta);
 
-/** Advances in wake-up steps until `done` says so or `limit` has passed; returns the last verdict.
- */
+/** Advances from wake-up to wake-up until `done` returns TRUE or `limit` has passed; returns the
+ * last result of `done`. */
 gboolean knl_paused_clock_advance_until (KnlPausedClock *clock,
                                          KnlTime limit,
                                          gboolean (*done) (gpointer data),
                                          gpointer data);
 
 /**
- * Freezes or thaws one runtime, as a stopped process would be: time goes on,
- * its kernel does not run; on thawing all that fell due runs at once.
+ * Freezes or thaws one runtime, to simulate a stopped process (SIGSTOP): time
+ * passes, but its kernel doesn't run. After thawing, all overdue work runs at the
+ * next advance of the clock.
  */
 void knl_paused_runtime_set_frozen (KnlRuntime *runtime, gboolean frozen);
--- a/kernel/event_runtime.c
+++ b/kernel/event_runtime.c
@@ -12,9 +12,9 @@
 } EventRuntime;
 
 /*
- * CLOCK_MONOTONIC stands still while a machine is suspended. A lease or a
- * confirmation would then look fresh on waking although its time has long
- * passed for everyone else; the boot clock counts the suspended time.
+ * CLOCK_MONOTONIC stops while a machine is suspended. After a resume, a lease or
+ * a confirmation would then look fresh although it has expired for all other
+ * processes. CLOCK_BOOTTIME includes the time in suspend.
  */
 static KnlTime
 event_now (KnlRuntime *runtime)
--- a/kernel/kernel.c
+++ b/kernel/kernel.c
@@ -12,7 +12,7 @@
 
 typedef struct
 {
-  KnlJobId id; /* 0: it was stopped while its slice ran */
+  KnlJobId id; /* 0: stopped while its slice was running */
   KnlJobFunc func;
   gpointer data;
   const char *name;
@@ -28,14 +28,14 @@
 {
   KnlRuntime *runtime;
   GRand *rand;
-  GTree *timers;           /* Timer, by deadline and then by order of start */
+  GTree *timers;           /* Timer, by deadline, then by order of start */
   GHashTable *timer_by_id; /* KnlTimerId -> Timer, not owned */
   GHashTable *tasks;       /* KnlTaskId -> KnlTask */
   GHashTable *services;    /* name -> KnlTaskId */
   GQueue mailbox;          /* Delivery */
   GArray *stopping;        /* KnlTaskId */
-  GQueue jobs;             /* Job; the first has the next turn */
-  Job *job;                /* whose slice runs */
+  GQueue jobs;             /* Job; the head runs next */
+  Job *job;                /* the job whose slice is running, or NULL */
   KnlMeterFunc meter;
   gpointer meter_data;
   guint64 last_id;
@@ -259,7 +259,7 @@
   return TRUE;
 }
 
-/* One slice a turn: with more of them, sockets would wait for all. */
+/* Runs one slice per iteration: with more, sockets would wait for all of them. */
 static void
 run_job (KnlKernel *kernel)
 {
