--- a/include/wire/frame.h
+++ b/include/wire/frame.h
@@ -1,12 +1,12 @@
 #pragma once
 
-/** Frames around single messages. */
+/** Wraps a single message in a frame. */
 
 #include "wire/alderturn.pb-c.h"
 
 /**
- * Pointer to a frame that carries `message`, good until the end of the block: BODY is the
- * message's name in the enumeration of bodies, `field` that of the union's member, as in
+ * Pointer to a frame that carries `message`, valid until the end of the enclosing block. BODY is
+ * the message's suffix in the enum of body cases, `field` its member of the union, as in
  * WR_FRAME (CONFIG_PULL, config_pull, &pull).
  */
 #define WR_FRAME(BODY, field, message)                                                             \
--- a/include/wire/handshake.h
+++ b/include/wire/handshake.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** The proofs of the handshake: HMAC-SHA256 under the shared secret over both sides' nonces. */
+/** Proofs of the handshake: HMAC-SHA256 over both sides' nonces, keyed with the shared secret. */
 
 #include <glib.h>
 
@@ -9,8 +9,8 @@
 #define WR_NONCE_BYTES 32
 #define WR_PROOF_BYTES 32
 
-/** Who makes a proof; it goes into the proof, so that one side's can't be sent back as the other's.
- */
+/** The side that makes a proof. It is part of the HMAC's input, so that a proof can't be reflected
+ * to the side that made it. */
 typedef enum
 {
   WR_SIDE_CONNECTING,
@@ -18,8 +18,9 @@
 } WrSide;
 
 /**
- * A nonce that never repeats under one identity and can't be guessed without
- * the secret: an HMAC over the incarnation and `number`, which must differ each time.
+ * Makes a nonce that is unique for an identity and unpredictable without the
+ * secret: an HMAC over instance, role, incarnation and `number`. `number` must
+ * differ in each call of one incarnation.
  */
 void wr_handshake_nonce (const WrIdentity *identity, guint64 number, guint8 nonce[WR_NONCE_BYTES]);
 
@@ -29,11 +30,10 @@
                          const guint8 accepting[WR_NONCE_BYTES],
                          guint8 proof[WR_PROOF_BYTES]);
 
-/** Compares in a time that does not depend on the bytes. */
+/** Compares two proofs in constant time; FALSE also if `given` has another length. */
 gboolean wr_handshake_equal (const guint8 *expected, const ProtobufCBinaryData *given);
 
-/** What makes `hello` unusable, as a constant; NULL when nothing does. Versions are not looked at.
- */
+/** Validates `hello`, except for its version. Returns the fault as a static string, or NULL. */
 const char *wr_handshake_fault (const Alderturn__Hello *hello);
 
 /** Fills `hello` with pointers into `identity` and `nonce`. */
--- a/include/wire/heartbeat.h
+++ b/include/wire/heartbeat.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** Whether the peer of a link still answers: sequence numbers sent, and the last one answered. */
+/** Tracks whether the peer of a link still answers heartbeats. */
 
 #include "kernel/kernel.h"
 
@@ -9,14 +9,15 @@
   KnlTime interval;
   KnlTime limit;
   KnlTime answered; /**< when the peer last answered, or the start */
-  KnlTime checked;
+  KnlTime checked;  /**< when wr_heartbeat_check() last ran, or the start */
   guint64 sequence; /**< of the last heartbeat sent */
 } WrHeartbeat;
 
 void wr_heartbeat_start (WrHeartbeat *heartbeat, KnlTime now, KnlTime interval, KnlTime limit);
 
-/** Called once each interval. FALSE: the peer has been silent beyond the limit. */
+/** Call once per interval, then send heartbeat `sequence`. FALSE: the peer hasn't answered for
+ * longer than `limit`. */
 gboolean wr_heartbeat_check (WrHeartbeat *heartbeat, KnlTime now);
 
-/** The peer answered heartbeat `sequence`; one that was never sent is ignored. */
+/** The peer answered heartbeat `sequence`; a number that was never sent is ignored. */
 void wr_heartbeat_answered (WrHeartbeat *heartbeat, KnlTime now, guint64 sequence);
--- a/include/wire/link.h
+++ b/include/wire/link.h
@@ -3,9 +3,10 @@
 /**
  * Links: ordered streams of frames between two of alderturn's processes.
  *
- * A transport makes links. The daemons use TCP (wire/tcp.h), tests a network in
- * memory with faults (tests/fakes/memory_network.h). A link starts up with the
- * handshake of docs/WIRE.md and is watched by heartbeats; its user sees neither.
+ * A transport creates links. The daemons use TCP (wire/tcp.h), tests an
+ * in-memory network with faults (tests/fakes/memory_network.h). A link starts
+ * with the handshake of docs/WIRE.md and is monitored by heartbeats; both are
+ * handled below this interface.
  */
 
 #include "kernel/kernel.h"
@@ -14,13 +15,13 @@
 typedef struct WrTransport WrTransport;
 typedef struct WrLink WrLink;
 
-/** Frames longer than this close the link. */
+/** Maximum frame length in bytes; a longer frame closes the link. */
 #define WR_FRAME_LIMIT ((gsize)4 * 1024 * 1024)
 
-/** Version of the frames; a peer with another one is refused. */
+/** Version of the protocol; a peer with another version is refused. */
 #define WR_VERSION 1
 
-/** How a process presents itself on all its links. Strings live as long as the transport. */
+/** Identity that a process presents on all its links. The strings must outlive the transport. */
 typedef struct
 {
   const char *instance;
@@ -28,53 +29,53 @@
   Alderturn__Role role;
   const char *zone;
   const char *region;
-  const char *address;        /**< where it takes links, or "" */
+  const char *address;        /**< where it accepts links, or "" */
   const char *caller_address; /**< an entry's address for callers, or "" */
   const char *secret;         /**< shared by all processes of one deployment */
 } WrIdentity;
 
-/** Why a link is down. */
+/** Why a link was closed. */
 typedef enum
 {
   WR_CLOSED_BY_USER,
   WR_CLOSED_BY_PEER,
   WR_CLOSED_UNREACHABLE,
-  WR_CLOSED_SILENT,    /**< no heartbeat in time */
-  WR_CLOSED_BAD_FRAME, /**< undecodable, too long, or out of turn */
+  WR_CLOSED_SILENT,    /**< heartbeats not answered in time, or handshake timed out */
+  WR_CLOSED_BAD_FRAME, /**< undecodable, too long, or not valid in this state */
   WR_CLOSED_BAD_SECRET,
   WR_CLOSED_BAD_VERSION,
-  WR_CLOSED_SLOW_PEER, /**< more waits to be sent than the bound allows */
+  WR_CLOSED_SLOW_PEER, /**< more unsent bytes than allowed */
 } WrCloseReason;
 
 const char *wr_close_reason_name (WrCloseReason reason);
 
-/** What a link tells its user. After on_closed the link is gone. */
+/** Events of a link. After on_closed the link is freed and must not be used. */
 typedef struct
 {
-  /** The handshake is done; `peer` lives as long as the link. */
+  /** The handshake is complete; `peer` is valid as long as the link. */
   void (*on_open) (WrLink *link, const Alderturn__Hello *peer, gpointer data);
-  /** A frame came; it is freed after the call. */
+  /** A frame was received; it is freed after the call. */
   void (*on_frame) (WrLink *link, const Alderturn__Frame *frame, gpointer data);
   void (*on_closed) (WrLink *link, WrCloseReason reason, gpointer data);
 } WrLinkEvents;
 
-/** Sets the events of a link just accepted, whose handshake is done. */
+/** Called for an accepted link once its handshake is complete; should set the link's events. */
 typedef void (*WrAcceptFunc) (WrLink *link, const Alderturn__Hello *peer, gpointer data);
 
 typedef struct
 {
-  /** Takes links at `address` ("IP:PORT"); FALSE when that address can't be had. */
+  /** Accepts links at `address` ("IP:PORT"); FALSE if it is invalid or can't be bound. */
   gboolean (*listen) (WrTransport *transport,
                       const char *address,
                       WrAcceptFunc accept,
                       gpointer data);
-  /** Starts a link to `address`; the outcome comes by on_open or on_closed, never inside the call.
-   */
+  /** Starts a link to `address`. The result is reported by on_open or on_closed, never during the
+   * call. */
   WrLink *(*connect) (WrTransport *transport,
                       const char *address,
                       const WrLinkEvents *events,
                       gpointer data);
-  /** Closes all links without events, and frees the transport. */
+  /** Closes all links without events and frees the transport. */
   void (*free) (WrTransport *transport);
 } WrTransportClass;
 
@@ -85,9 +86,9 @@
 
 typedef struct
 {
-  /** Queues a frame; it is encoded before the call returns. No effect on a link not open. */
+  /** Queues a frame; it is encoded before the call returns. No effect if the link isn't open. */
   void (*send) (WrLink *link, const Alderturn__Frame *frame);
-  /** Closes and frees the link without an on_closed event; what was sent before still goes out. */
+  /** Closes and frees the link without an on_closed event; frames queued before are still sent. */
   void (*close) (WrLink *link);
   void (*set_events) (WrLink *link, const WrLinkEvents *events, gpointer data);
 } WrLinkClass;
--- a/include/wire/session.h
+++ b/include/wire/session.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /**
- * A link without its sockets: the handshake, heartbeats and bounds of
- * docs/WIRE.md over a channel of bytes. A session is the WrLink that the user
- * holds; transports give it a channel and feed it what arrives.
+ * The part of a link that doesn't depend on the transport: handshake, heartbeats
+ * and bounds of docs/WIRE.md, over a byte channel. A session is the user's
+ * WrLink; the transport provides the channel and passes received bytes to it.
  */
 
 #include "wire/link.h"
@@ -11,29 +11,31 @@
 /** Time between two heartbeats of one side. */
 #define WR_HEARTBEAT_INTERVAL (500 * KNL_MSEC)
 
-/** A link whose heartbeats are not answered for so long is closed. */
+/** A link whose heartbeats aren't answered for longer than this is closed. */
 #define WR_SILENCE_LIMIT (3 * KNL_SEC)
 
-/** Longest time from the start of a link to the end of its handshake. */
+/** Maximum time from the start of a link to the end of its handshake. */
 #define WR_HANDSHAKE_LIMIT (3 * KNL_SEC)
 
-/** Frames of a peer that has not shown that it knows the secret may have this many bytes. */
+/** Maximum frame length, in bytes, until the peer has proved that it knows the secret. */
 #define WR_HANDSHAKE_FRAME_LIMIT 4096
 
-/** Bytes that may wait to be sent on one link. */
+/** Maximum number of unsent bytes of one link. */
 #define WR_UNSENT_LIMIT (2 * WR_FRAME_LIMIT)
 
 typedef struct WrSession WrSession;
 typedef struct WrChannel WrChannel;
 
-/** Ordered bytes to the peer and back. A channel calls wr_session_*() for what happens on it. */
+/** An ordered byte stream to and from the peer. The channel reports its events by wr_session_*().
+ */
 typedef struct
 {
-  /** Takes the bytes over; never calls the session back. */
+  /** Queues a copy of the bytes; must not call the session. */
   void (*write) (WrChannel *channel, const guint8 *bytes, gsize count);
-  /** Bytes written and not yet gone out. */
+  /** Number of bytes written but not yet sent. */
   gsize (*unsent) (WrChannel *channel);
-  /** Ends and frees the channel once what was written has gone out; the session is gone for it. */
+  /** Closes and frees the channel once all written bytes are sent. The channel must not use the
+   * session any more. */
   void (*close) (WrChannel *channel);
 } WrChannelClass;
 
@@ -42,14 +44,15 @@
   const WrChannelClass *klass;
 };
 
-/** What all sessions of a transport share; the transport's first own member. */
+/** State shared by all sessions of a transport; embedded in the transport. */
 typedef struct
 {
   KnlKernel *kernel;
   const WrIdentity *identity;
   const guint64 *config_revision; /**< may be NULL */
-  GHashTable *sessions;           /**< number -> WrSession not yet closed, in one order each run */
-  gint64 handshakes;              /**< begun so far; makes each nonce differ */
+  GHashTable *sessions; /**< number -> WrSession not yet closed; keyed by number for the same order
+                           in every run */
+  gint64 handshakes;    /**< number started so far; makes each nonce unique */
 } WrSessionHost;
 
 void wr_session_host_init (WrSessionHost *host,
@@ -61,8 +64,8 @@
 void wr_session_host_clear (WrSessionHost *host);
 
 /**
- * The connecting side. `channel` NULL: the address can't be reached, which the
- * user learns in a later turn of the kernel.
+ * Creates a session of the connecting side. `channel` NULL: the address is
+ * unreachable; on_closed follows in a later iteration of the loop.
  */
 WrSession *wr_session_connect (WrSessionHost *host,
                                WrChannel *channel,
@@ -70,18 +73,19 @@
                                const WrLinkEvents *events,
                                gpointer data);
 
-/** The accepting side; `accept` is called when the handshake is done. */
+/** Creates a session of the accepting side; `accept` is called once the handshake is complete. */
 WrSession *wr_session_accept (WrSessionHost *host,
                               WrChannel *channel,
                               const char *address,
                               WrAcceptFunc accept,
                               gpointer data);
 
-/** The channel reaches the peer: the connecting side sends its Hello. */
+/** The channel is connected; sends the Hello of the connecting side. */
 void wr_session_connected (WrSession *session);
 
-/** Bytes came. The session may be gone after the call, its channel closed. */
+/** Handles received bytes. The call may free the session and close its channel. */
 void wr_session_receive (WrSession *session, const guint8 *bytes, gsize count);
 
-/** The channel broke or was ended by the peer; the session closes it and is gone after the call. */
+/** The channel failed or was closed by the peer. The session closes it; on_closed follows in a
+ * later iteration of the loop. */
 void wr_session_lost (WrSession *session);
--- a/include/wire/tcp.h
+++ b/include/wire/tcp.h
@@ -1,21 +1,21 @@
 #pragma once
 
-/** Links over TCP: libevent's bufferevents beneath the handshake and heartbeats of wire/link.h. */
+/** Links over TCP, on libevent's bufferevents. */
 
 #include "wire/link.h"
 
 struct event_base;
 
 /**
- * A transport whose sockets live on `base` and whose clock is `kernel`'s.
- * `identity` and the revision behind `config_revision` (sent with each
- * heartbeat; may be NULL) must outlive it.
+ * Creates a transport with its sockets on `base` and the clock of `kernel`.
+ * `identity` and `*config_revision` must outlive it. `*config_revision` is sent
+ * with each heartbeat; the pointer may be NULL (0 is sent).
  */
 WrTransport *wr_tcp_transport_new (KnlKernel *kernel,
                                    struct event_base *base,
                                    const WrIdentity *identity,
                                    const guint64 *config_revision);
 
-/** The port of the first listener, for one opened at an address without a port; 0 when there is
- * none. */
+/** The port of the first listener, 0 if there is none; needed for an address without a port, for
+ * which the system picks one. */
 guint16 wr_tcp_transport_port (WrTransport *transport);
--- a/wire/framing.c
+++ b/wire/framing.c
@@ -17,8 +17,8 @@
   framing->bytes = NULL;
 }
 
-/** Drops what is decoded; done only when new bytes come, so that a frame in many parts moves once.
- */
+/** Drops decoded bytes. Called only before new bytes are appended, so that the rest of the buffer
+ * is moved once per push, not once per frame. */
 static void
 discard_decoded (WrFraming *framing)
 {
--- a/wire/heartbeat.c
+++ b/wire/heartbeat.c
@@ -8,10 +8,10 @@
 }
 
 /*
- * A process that was stopped for a while finds its timers due before it has
- * read what waits in its sockets, and would close all its links as silent
- * although the peers answered. Time in which this side could not look is
- * therefore not counted against the peer.
+ * When a process resumes after a stop, its timers fire before the answers that
+ * wait in its sockets are read. It would close all its links as silent although
+ * the peers have answered. Time for which this side was stalled is therefore not
+ * counted as silence of the peer.
  */
 static void
 forgive_own_pause (WrHeartbeat *heartbeat, KnlTime now)
--- a/wire/session.c
+++ b/wire/session.c
@@ -7,13 +7,13 @@
 
 typedef enum
 {
-  STATE_CONNECTING, /* waits for the channel */
+  STATE_CONNECTING, /* waits for the channel to connect */
   STATE_HELLO_SENT, /* connecting side: waits for HelloReply */
   STATE_ACCEPTING,  /* accepting side: waits for Hello */
   STATE_REPLY_SENT, /* accepting side: waits for HelloProof */
   STATE_OPEN,
-  STATE_FAILED, /* the channel is gone, the user is not told yet */
-  STATE_CLOSED, /* gone; freed once no call runs on it */
+  STATE_FAILED, /* channel closed, on_closed still to be called */
+  STATE_CLOSED, /* freed when the last running call returns */
 } State;
 
 struct WrSession
@@ -23,7 +23,7 @@
   WrChannel *channel;
   State state;
   gint64 number; /* key in the host's table */
-  guint depth;   /* calls now running on the session */
+  guint depth;   /* nested calls running on the session */
   char *address;
   const WrLinkEvents *events;
   gpointer data;
@@ -85,7 +85,7 @@
     channel->klass->close (channel);
 }
 
-/** The session ends; its memory goes when the last call on it returns. */
+/** Ends the session; its memory is freed when the last running call on it returns. */
 static void
 end_session (WrSession *session)
 {
@@ -122,8 +122,9 @@
 }
 
 /**
- * Closes the channel now and tells the user in a later turn of the kernel: a
- * link fails inside wr_link_send() too, whose callers may be walking over their links.
+ * Closes the channel now, but calls on_closed in a later iteration of the loop:
+ * a link can fail inside wr_link_send(), whose caller may be iterating over its
+ * links.
  */
 static void
 fail (WrSession *session, WrCloseReason reason, const char *detail)
@@ -154,7 +155,7 @@
   g_byte_array_unref (bytes);
 }
 
-/** Refuses the peer; it gets the reason's name, so that its own log tells it too. */
+/** Refuses the peer and sends it the reason's name, so that the peer can log it too. */
 static void
 refuse (WrSession *session, WrCloseReason reason, const char *detail)
 {
@@ -184,10 +185,10 @@
 }
 
 /*
- * A connection can go silent for good while both ends hold it open: what
- * tracked it in between has forgotten it, and TCP tells nobody. One would
- * notice requests that never end. Each side therefore wants its own heartbeats
- * answered, which shows a loss in either direction.
+ * A connection can stop working while both ends keep it open, for example when a
+ * firewall or NAT in between drops its state: TCP then reports no error, and
+ * requests never end. Each side therefore requires answers to its own heartbeats,
+ * which detects a failure in either direction.
  */
 static void
 on_heartbeat_due (gpointer data)
@@ -218,7 +219,7 @@
   session->timer = knl_timer_start (kernel, WR_HEARTBEAT_INTERVAL, on_heartbeat_due, session);
 }
 
-/** Both nonces in the order of the handshake, and the proof that `side` owes for them. */
+/** Computes the proof of `side` over both nonces, the connecting side's first. */
 static void
 make_proof (WrSession *session, WrSide side, guint8 proof[WR_PROOF_BYTES])
 {
@@ -229,7 +230,8 @@
                       connecting ? theirs : session->nonce, proof);
 }
 
-/** Keeps `hello`, a part of `frame`, when it is usable; else refuses the peer. */
+/** Validates `hello`, a part of `*frame`, and takes ownership of the frame; if invalid, refuses the
+ * peer and returns FALSE. */
 static gboolean
 take_peer (WrSession *session, Alderturn__Frame **frame, const Alderturn__Hello *hello)
 {
@@ -332,7 +334,7 @@
     send_heartbeat (session, heartbeat->sequence, TRUE);
 }
 
-/** Frames of an open link: all but those of the handshake. */
+/** Handles a frame on an open link; frames of the handshake are errors. */
 static void
 on_open_frame (WrSession *session, Alderturn__Frame **frame)
 {
@@ -369,7 +371,7 @@
   [STATE_OPEN] = { ALDERTURN__FRAME__BODY__NOT_SET, on_open_frame },
 };
 
-/** The peer's word is cut down to a reason that this side knows: it goes into the log. */
+/** Maps the peer's text to a known reason name, as it is written to the log. */
 static const char *
 goodbye_detail (const Alderturn__Goodbye *goodbye)
 {
@@ -519,7 +521,7 @@
   session->events = events;
   session->data = data;
   if (channel == NULL)
-    fail (session, WR_CLOSED_UNREACHABLE, "no way to this address");
+    fail (session, WR_CLOSED_UNREACHABLE, "unable to reach this address");
   return session;
 }
 
--- a/wire/tcp.c
+++ b/wire/tcp.c
@@ -12,7 +12,7 @@
 #include "common/socket.h"
 #include "wire/session.h"
 
-/** How long bytes sent before a close may take to go out. */
+/** Maximum time to send the queued bytes after a close. */
 #define LINGER_LIMIT (2 * KNL_SEC)
 
 #define ADDRESS_BYTES (INET6_ADDRSTRLEN + 16)
@@ -23,7 +23,7 @@
   WrSessionHost host;
   struct event_base *events;
   GPtrArray *listeners; /* Listener */
-  GHashTable *channels; /* set of TcpChannel, those lingering too */
+  GHashTable *channels; /* set of TcpChannel, including lingering ones */
 } TcpTransport;
 
 typedef struct
@@ -140,7 +140,7 @@
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-/** A channel on `fd`, or on a socket yet to be connected when that is -1. */
+/** Creates a channel on `fd`; -1: on a socket that is still to be connected. */
 static TcpChannel *
 channel_new (TcpTransport *transport, evutil_socket_t fd)
 {
@@ -155,7 +155,7 @@
   return channel;
 }
 
-/** "IP:PORT"; without a port any free one, which only listening can use. */
+/** Parses "IP:PORT"; without a port it is 0 (any free port), which works for listening only. */
 static gboolean
 parse_address (const char *address, struct sockaddr_storage *out, int *length)
 {
