--- a/include/common/log.h
+++ b/include/common/log.h
@@ -32,8 +32,7 @@
 /** Receives log lines in place of standard error; used by tests. */
 typedef void (*CmLogSink) (const char *line, gpointer data);
 
-/** Sets the program and instance of every later line; lines less severe than `limit` are dropped.
- */
+/** Sets the program and instance of all later lines. Lines less severe than `limit` are dropped. */
 void cm_log_init (const char *program, const char *instance, CmLogSeverity limit);
 
 /** Sends lines, without a newline, to `sink`; NULL removes the sink. */
--- a/include/kernel/kernel.h
+++ b/include/kernel/kernel.h
@@ -93,8 +93,7 @@
  */
 KnlKernel *knl_kernel_new (KnlRuntime *runtime, guint32 seed);
 
-/** Destroys all tasks, drops all messages, timers and jobs, and frees the kernel; NULL is ignored.
- */
+/** Destroys all tasks, drops all messages, timers and jobs, frees the kernel. NULL is ignored. */
 void knl_kernel_free (KnlKernel *kernel);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (KnlKernel, knl_kernel_free)
 
--- a/include/wire/session.h
+++ b/include/wire/session.h
@@ -26,8 +26,7 @@
 typedef struct WrSession WrSession;
 typedef struct WrChannel WrChannel;
 
-/** An ordered byte stream to and from the peer. The channel reports its events by wr_session_*().
- */
+/** An ordered byte stream to and from the peer. A channel reports its events by wr_session_*(). */
 typedef struct
 {
   /** Queues a copy of the bytes; must not call the session. */
--- a/tests/fakes/memory_network.c
+++ b/tests/fakes/memory_network.c
@@ -34,23 +34,23 @@
   GBytes *bytes;
 } Chunk;
 
-/* One end of a pipe: what it has received and not yet read. */
+/* One end of a pipe, with the chunks on their way to it. */
 typedef struct
 {
   WrChannel base;
   Pipe *pipe;
-  Node *node;         /* NULL: not there any more */
-  WrSession *session; /* NULL: not accepted yet, or closed */
+  Node *node;         /* NULL: freed */
+  WrSession *session; /* NULL: not yet accepted, or closed */
   gboolean closed;
   GQueue chunks;
-  gsize waiting; /* bytes in chunks */
+  gsize waiting; /* bytes in `chunks` */
   KnlTimerId timer;
 } End;
 
 struct Pipe
 {
   FkNetwork *network;
-  End ends[2]; /* the connecting one, the accepting one */
+  End ends[2]; /* connecting end, accepting end */
   Listener *listener;
   gboolean frozen;
 };
@@ -63,7 +63,7 @@
   GHashTable *refusing;
   KnlTime within_zone;
   KnlTime between_zones;
-  guint64 sent; /* bytes */
+  guint64 sent; /* bytes sent by all nodes */
 };
 
 static void deliver (gpointer data);
@@ -92,7 +92,7 @@
   return blocked;
 }
 
-/** Whether bytes on their way to `end` are held back. */
+/** Whether chunks on their way to `end` are held back. */
 static gboolean
 is_blocked (End *end)
 {
@@ -124,7 +124,7 @@
                                                                          : network->between_zones;
 }
 
-/** Puts something on its way to `end`. */
+/** Queues a chunk from node `from` to `end`. */
 static void
 push (End *end, Node *from, ChunkKind kind, const guint8 *bytes, gsize count)
 {
@@ -238,7 +238,7 @@
   bytes = g_bytes_get_data (chunk->bytes, &count);
   end->waiting -= count;
   arm (end);
-  /* The session may close this end, and the pipe go away: `end` is not used after. */
+  /* The session may close this end and free the pipe: `end` must not be used after the call. */
   if (chunk->kind == CHUNK_CONNECT)
     take_connection (end);
   else if (chunk->kind == CHUNK_CONNECTED)
@@ -323,7 +323,7 @@
   return (WrLink *)pipe->ends[0].session;
 }
 
-/** Ends that were never accepted have no session to close them. */
+/** Closes the accepting ends of `node`. Those never accepted have no session to close them. */
 static void
 close_ends_of (Node *node)
 {
--- a/tests/unit/kernel_test.c
+++ b/tests/unit/kernel_test.c
@@ -1,4 +1,4 @@
-/** The micro-kernel on a paused clock: order of timers, messages, names, frozen kernels. */
+/** The micro-kernel on a paused clock: timers, tasks, names, jobs, frozen kernels, meter. */
 
 #include "kernel/kernel.h"
 #include "kernel/paused.h"
@@ -103,9 +103,9 @@
 }
 
 /*
- * Symptom: a lease holder that was stopped acts on a lease that has lapsed.
- * Sequence: its process stops, time passes, it goes on and finds its timers due.
- * Cause reproduced here: a frozen kernel's clock goes on while its timers wait.
+ * Guards against a resumed process that still acts on an expired lease: its clock
+ * must include the time for which it was stopped. The kernel is frozen past a
+ * timer's deadline; the timer must fire late, with the current time.
  */
 static void
 test_a_frozen_kernel_runs_late_and_sees_the_time_that_passed (void)
@@ -126,7 +126,7 @@
   CU_ASSERT_EQUAL (knl_kernel_now (kernel), knl_paused_clock_now (clock));
 }
 
-/* Writes its mark in each of its slices, and may stop itself in one. */
+/* A job that appends its mark in each slice; with `stops_itself` it stops in its first slice. */
 typedef struct
 {
   Mark mark;
@@ -148,9 +148,9 @@
 }
 
 /*
- * Symptom: streams pause while an instance takes in a large configuration.
- * Sequence: the work is cut into slices, and sockets and timers wait all the same.
- * Cause: slices that follow each other within one turn of the loop.
+ * Guards against streams that stall while an instance applies a large
+ * configuration. The work is split into slices, but if several slices run in one
+ * iteration of the loop, sockets and timers still wait for all of them.
  */
 static void
 test_jobs_take_one_slice_a_turn (void)
@@ -192,7 +192,7 @@
   CU_ASSERT_EQUAL (own.id, 0);
   knl_paused_clock_advance (clock, KNL_SEC);
   CU_ASSERT_STRING_EQUAL (text->str, "ab");
-  /* One that still runs goes with its kernel. */
+  /* A job that isn't done is freed with its kernel. */
   rest.id = knl_job_start (kernel, take_slice, &rest);
 }
 
@@ -228,9 +228,10 @@
     test_a_stopped_task_gets_no_more_messages_and_loses_its_name },
   { "a frozen kernel runs late and sees the time that passed",
     test_a_frozen_kernel_runs_late_and_sees_the_time_that_passed },
-  { "jobs take one slice a turn", test_jobs_take_one_slice_a_turn },
+  { "jobs run one slice per loop iteration", test_jobs_take_one_slice_a_turn },
   { "jobs that are stopped", test_jobs_that_are_stopped },
-  { "the meter names who took how long", test_the_meter_names_who_took_how_long },
+  { "the meter reports the name and duration of a callback",
+    test_the_meter_names_who_took_how_long },
 };
 
 SUITE_MAIN ("kernel", cases)
--- a/tests/unit/metrics_test.c
+++ b/tests/unit/metrics_test.c
@@ -1,4 +1,4 @@
-/** Metrics: histograms' error bound, bounded label sets, the text format, memory. */
+/** Metrics: error bound of histograms, bounded label sets, text format, memory use. */
 
 #include "common/metrics.h"
 #include "suite.h"
@@ -100,7 +100,7 @@
   g_string_free (text, TRUE);
 }
 
-/* 600 workspaces and 5 length classes, values spread over 1 ms to 60 s. */
+/* 600 workspaces with 5 length classes; values from 1 ms to 60 s, in every bucket. */
 static void
 test_memory_at_600_workspaces (void)
 {
@@ -121,7 +121,7 @@
   CU_ASSERT (bytes < (gsize)24 * 1024 * 1024);
 }
 
-/* As many series as an entry has for 600 workspaces, 4 length classes and 4 outcomes. */
+/* The number of series of an instance with 600 workspaces, 4 length classes and 4 outcomes. */
 static void
 test_usual_bound_has_room_for_600_workspaces (void)
 {
@@ -157,7 +157,8 @@
   { "merging equals recording together", test_merge_is_as_recorded_together },
   { "text format and bounded labels", test_text_and_bounded_labels },
   { "memory at 600 workspaces", test_memory_at_600_workspaces },
-  { "the usual bound has room for 600 workspaces", test_usual_bound_has_room_for_600_workspaces },
+  { "the default bound is enough for 600 workspaces",
+    test_usual_bound_has_room_for_600_workspaces },
 };
 
 SUITE_MAIN ("metrics", cases)
--- a/tests/unit/network_test.c
+++ b/tests/unit/network_test.c
@@ -1,4 +1,4 @@
-/** Two processes over the network in memory: handshake, lifetimes, and the network's faults. */
+/** Two processes on the in-memory network: handshake, lifetimes of links, and network faults. */
 
 #include "../fakes/memory_network.h"
 #include "kernel/paused.h"
@@ -28,7 +28,7 @@
   guint opened;
   guint closed;
   WrCloseReason reason;
-  guint64 last; /* have_revision of the last pull */
+  guint64 last; /* `have_revision` of the last pull */
   guint pulls;
   guint64 heard_revision;
 } Side;
@@ -199,7 +199,7 @@
   {
     CloseWhen client;
     CloseWhen server;
-    gboolean to_server; /* a frame is sent to the server, else to the client */
+    gboolean to_server; /* frames are sent to the server, else to the client */
   } rows[] = {
     { CLOSE_ON_OPEN, CLOSE_NEVER, TRUE },   { CLOSE_NEVER, CLOSE_ON_OPEN, FALSE },
     { CLOSE_NEVER, CLOSE_ON_FRAME, TRUE },  { CLOSE_ON_FRAME, CLOSE_NEVER, FALSE },
@@ -235,9 +235,9 @@
 {
   const char *name;
   void (*run) (Pair *pair);
-  gboolean before; /* the fault is there before the link is begun */
+  gboolean before; /* the fault occurs before the link is started, else after it is open */
   WrCloseReason client;
-  WrCloseReason server; /* looked at when the server's side was open */
+  WrCloseReason server; /* checked if the server's side was open; WR_CLOSED_BY_USER: not checked */
 } FaultCase;
 
 static void
@@ -285,9 +285,9 @@
 }
 
 /*
- * Symptom: a process waits on a link that will never carry anything again.
- * Sequence: the link is open or about to be; the network fails in one of its ways.
- * Cause reproduced here: each fault of the network in memory, in turn.
+ * Guards against a process that waits forever on a dead link. The network fails
+ * while the link is open or being opened; each kind of fault of the in-memory
+ * network is tested.
  */
 static const FaultCase fault_cases[] = {
   { "frozen", fault_freeze, FALSE, WR_CLOSED_SILENT, WR_CLOSED_SILENT },
@@ -359,7 +359,8 @@
   { "each fault of the network is noticed in time",
     test_each_fault_of_the_network_is_noticed_in_time },
   { "new links work beside a frozen one", test_new_links_work_beside_a_frozen_one },
-  { "a short cut delays and loses nothing", test_a_short_cut_delays_and_loses_nothing },
+  { "a short network partition delays frames but loses none",
+    test_a_short_cut_delays_and_loses_nothing },
 };
 
 SUITE_MAIN ("network", cases)
--- a/tests/unit/retry_test.c
+++ b/tests/unit/retry_test.c
@@ -1,4 +1,4 @@
-/** Backoff and the hashes of prefix blocks. */
+/** Retry backoff and the hashes of prefix blocks. */
 
 #include "common/prefix.h"
 #include "common/retry.h"
@@ -31,10 +31,10 @@
   static const struct
   {
     gsize length;
-    gsize changed; /* a byte that differs in the second prompt */
+    gsize changed; /* offset of the byte that differs in the second prompt */
     gsize limit;
     gsize count;
-    gsize equal; /* hashes from the first on */
+    gsize equal; /* number of equal hashes from the first on */
   } rows[] = {
     { 0, 0, 8, 0, 0 },
     { CM_PREFIX_BLOCK - 1, 0, 8, 0, 0 },
--- a/tests/unit/session_test.c
+++ b/tests/unit/session_test.c
@@ -1,4 +1,4 @@
-/** A link's session on bytes alone: each way a peer can break the rules, and what is said of it. */
+/** Sessions over a fake channel: each protocol violation of a peer, and how it is logged. */
 
 #include "common/log.h"
 #include "kernel/paused.h"
@@ -21,7 +21,7 @@
   gboolean closed;
 } RawChannel;
 
-/* A process with one link to a peer that the test plays, and one to a peer that behaves. */
+/* A process that has accepted one connection; the test plays the peer. */
 typedef struct
 {
   KnlPausedClock *clock;
@@ -136,7 +136,7 @@
   g_autoptr (GByteArray) bytes = g_byte_array_new ();
 
   wr_framing_encode (frame, WR_FRAME_LIMIT, bytes);
-  /* A byte at a time: frames may be cut anywhere. */
+  /* One byte at a time: received frames may be split at any position. */
   for (guint i = 0; i < bytes->len && fixture->session != NULL && !fixture->channel.closed; i++)
     wr_session_receive (fixture->session, bytes->data + i, 1);
 }
@@ -215,7 +215,7 @@
   feed_proof (fixture, "guessed", WR_SIDE_CONNECTING);
 }
 
-/* Sends this side's own kind of proof back, as one who does not know the secret could. */
+/* Sends the accepting side's kind of proof back, as a peer without the secret could. */
 static void
 break_reflected_proof (Fixture *fixture)
 {
@@ -244,9 +244,8 @@
 }
 
 /*
- * Symptom: a daemon's memory grows until it is killed.
- * Sequence: a peer stops reading; frames for it go on being queued.
- * Cause reproduced here: the channel says that as much as is allowed waits already.
+ * Guards against unbounded memory: a peer stops reading while frames for it are
+ * still queued. Here the channel already has the maximum of unsent bytes.
  */
 static void
 break_slow (Fixture *fixture)
@@ -257,9 +256,9 @@
 }
 
 /*
- * Symptom: requests over a link never end, while new links work.
- * Sequence: the link is open; what lies between the ends forgets it.
- * Cause reproduced here: nothing comes any more, and nobody closes the channel.
+ * Guards against requests that never end on a dead link: a firewall or NAT drops
+ * the connection's state, so nothing arrives and the channel isn't closed. Here
+ * the peer sends nothing after the handshake.
  */
 static void
 break_silent_when_open (Fixture *fixture)
@@ -268,9 +267,7 @@
   knl_paused_clock_advance (fixture->clock, WR_SILENCE_LIMIT + WR_HEARTBEAT_INTERVAL);
 }
 
-/*
- * The same with only the outgoing direction lost: the peer's own heartbeats
- * come, answers to ours don't.
+/* As above, with only the outgoing direction lost: the peer's heartbeats arrive, its answers don't.
  */
 static void
 break_unanswered (Fixture *fixture)
@@ -283,19 +280,19 @@
     }
 }
 
-/* What the peer does: runs `run`, or sends a Hello with one thing wrong, or raw bytes. */
+/* The peer's action: `run`, a Hello with one invalid field, or raw bytes. */
 typedef struct
 {
   void (*run) (Fixture *fixture);
-  const char *instance; /* of the Hello; NULL: none is sent */
+  const char *instance; /* in the Hello; NULL: no Hello is sent */
   guint32 version;
   Alderturn__Role role;
   gsize nonce;
-  gboolean open; /* the bytes come on an open link */
+  gboolean open; /* the link is opened first */
   const char *bytes;
   gsize count;
   WrCloseReason reason;
-  const char *peer; /* in the log line */
+  const char *peer; /* field of the log line, as is `detail` */
   const char *detail;
 } BreakCase;
 
@@ -312,7 +309,7 @@
     .peer = (on_open) ? "entry-1" : NULL, .detail = (text)                                         \
   }
 
-/* A Goodbye frame, with its reason as raw text. */
+/* A Goodbye frame, as raw bytes. */
 #define GOODBYE(raw, text)                                                                         \
   {                                                                                                \
     .bytes = (raw), .count = sizeof (raw) - 1, .reason = WR_CLOSED_BY_PEER, .detail = (text)       \
@@ -410,7 +407,7 @@
     }
 }
 
-/* One process, one bad peer: the link beside it stays open. */
+/* A protocol violation on one link must not close another link of the process. */
 static void
 test_a_fault_on_one_link_disturbs_no_other (void)
 {
@@ -433,10 +430,10 @@
 }
 
 /*
- * Symptom: a process that was stopped for a while closes all its links.
- * Sequence: stopped with links open; on waking the heartbeat timers are due
- * before the answers that wait in the sockets are read.
- * Cause reproduced here: the kernel is frozen beyond the silence limit, then the answer comes.
+ * Guards against a resumed process that closes all its links: the heartbeat timers
+ * fire before the answers that wait in the sockets are read. The kernel is frozen
+ * beyond the heartbeat timeout; the link must stay open after the resume, and
+ * close if the peer is then silent for the whole timeout.
  */
 static void
 test_a_pause_of_this_side_is_not_the_peers_silence (void)
--- a/tests/unit/settings_test.c
+++ b/tests/unit/settings_test.c
@@ -1,4 +1,4 @@
-/** Settings: precedence, and all that is wrong reported together. */
+/** Settings: precedence, and all errors reported in one pass. */
 
 #include "common/settings.h"
 #include "suite.h"
--- a/tests/unit/suite.c
+++ b/tests/unit/suite.c
@@ -8,7 +8,7 @@
   CU_pSuite suite;
   unsigned int failures;
 
-  /* What GLib finds wrong with a call ends the test, as an invariant does. */
+  /* GLib's critical warnings abort the test, as failed invariants do. */
   g_log_set_always_fatal (G_LOG_LEVEL_CRITICAL | G_LOG_LEVEL_ERROR);
   g_setenv ("ALDERTURN_INVARIANTS", "fatal", TRUE);
   if (CU_initialize_registry () != CUE_SUCCESS)
--- a/tests/unit/suite.h
+++ b/tests/unit/suite.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * The shape of a unit test file: a table of cases, run by CUnit. Each file is
- * one program, so that a crash names its file.
+ * Framework of the unit tests: each test file has a table of cases, run by CUnit.
+ * Each file is a program of its own, so that a crash can be attributed to its file.
  */
 
 #include <CUnit/Basic.h>
@@ -14,7 +14,8 @@
   void (*run) (void);
 } SuiteCase;
 
-/** Runs the cases as one CUnit suite; the process's exit status: 0 when all passed. */
+/** Runs the cases as one CUnit suite. Returns the process's exit status: 0 if all passed, 1 if not,
+ * 2 if CUnit can't start. */
 int suite_run (const char *name, const SuiteCase *cases, unsigned int count);
 
 #define SUITE_MAIN(name, cases)                                                                    \
--- a/tests/unit/tcp_test.c
+++ b/tests/unit/tcp_test.c
@@ -1,4 +1,4 @@
-/** Links over real sockets on loopback. */
+/** Links over real sockets on the loopback interface. */
 
 #include "kernel/event_runtime.h"
 #include "suite.h"
@@ -118,7 +118,7 @@
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (Pair, pair_free)
 
-/** Runs events until `*counter` has reached `wanted`. */
+/** Runs the event loop until `*counter` is at least `wanted`. */
 static void
 run_until (Pair *pair, const guint *counter, guint wanted)
 {
@@ -201,7 +201,7 @@
 static const SuiteCase cases[] = {
   { "frames go both ways", test_frames_go_both_ways },
   { "what was sent before close arrives", test_what_was_sent_before_close_arrives },
-  { "addresses that nobody answers", test_addresses_that_nobody_answers },
+  { "unreachable addresses", test_addresses_that_nobody_answers },
 };
 
 SUITE_MAIN ("tcp", cases)
