--- a/common/log.c
+++ b/common/log.c
@@ -9,7 +9,8 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Lines less severe than a warning on standard output, per second; a request logs one to three. */
+/* Maximum lines per second on standard output, not counting warnings and more severe ones. A
+ * request logs one to three lines. */
 #define LINES_PER_SECOND 400
 
 /* Minimum time between two lines of one CmLogLimit, us. */
--- a/common/metrics.c
+++ b/common/metrics.c
@@ -155,7 +155,7 @@
 
   if (series != NULL)
     return series;
-  /* Label values come from requests. Without a bound, a caller that sends ever new names would
+  /* Label values come from requests. Without a bound, a caller that keeps sending new names would
    * grow memory (visible in cm_metrics_bytes()) and every scrape. At the bound only the first label
    * is replaced, so that classes and outcomes stay distinct; at twice the bound all labels are. */
   if (g_hash_table_size (metric->series) >= bound)
--- a/common/retry.c
+++ b/common/retry.c
@@ -12,7 +12,7 @@
     delay *= 2;
   delay = MIN (delay, backoff->limit);
   backoff->retries++;
-  /* Without jitter, clients that failed at the same time would also retry at the same time. */
+  /* Without jitter, callers that failed together would retry together after every delay. */
   return delay / 2 + (KnlTime)(g_rand_double (knl_kernel_rand (kernel)) * (double)delay / 2);
 }
 
--- a/tests/unit/session_test.c
+++ b/tests/unit/session_test.c
@@ -267,8 +267,7 @@
   knl_paused_clock_advance (fixture->clock, WR_SILENCE_LIMIT + WR_HEARTBEAT_INTERVAL);
 }
 
-/* As above, with only the outgoing direction lost: the peer's heartbeats arrive, its answers don't.
- */
+/* As above, but only the outgoing direction fails: heartbeats of the peer arrive, answers don't. */
 static void
 break_unanswered (Fixture *fixture)
 {
