--- a/controller/config_links.c
+++ b/controller/config_links.c
@@ -1,10 +1,9 @@
-/** The configuration between this controller and its peers: pushed on change, pulled by who is
- * behind. */
+/** Exchange of the configuration with peers: pushed on change, pulled by a peer that is behind. */
 
 #include "controller/state.h"
 #include "wire/frame.h"
 
-/* A peer whose configuration is ahead is asked for it so often at most. */
+/* Minimum time between two requests for the configuration of one peer. */
 #define PULL_INTERVAL (200 * KNL_MSEC)
 
 void
@@ -12,7 +11,8 @@
 {
   Alderturn__ConfigPush *push;
 
-  /* What a node that is behind would push may be older than what the peer has had in force. */
+  /* Until the store is ready, this configuration may be older than one that the peer has already
+     had in force. */
   if (!co_config_store_ready (controller->store))
     return;
   push = co_config_push_since (controller->config, have);
@@ -49,7 +49,8 @@
                     controller);
 }
 
-/* Heartbeats carry the revision in force at the peer; whoever is behind asks. */
+/* Handles the revision in force at a peer, which heartbeats carry: if it is higher than the one
+   here, requests the peer's configuration. */
 void
 ct_config_peer_revision (CtController *controller, CtPeer *peer, guint64 revision)
 {
--- a/controller/controller.c
+++ b/controller/controller.c
@@ -4,10 +4,10 @@
 #include "controller/state.h"
 #include "wire/frame.h"
 
-/* Between two looks at whether all that was under way has ended. */
+/* Poll interval for the relay's pending requests while draining. */
 #define DRAIN_STEP (50 * KNL_MSEC)
 
-/* Time for the goodbyes to go out. */
+/* Time for the goodbye frames to be sent before links are closed. */
 #define GOODBYE_TIME (100 * KNL_MSEC)
 
 CtController *
@@ -74,8 +74,9 @@
 }
 
 /*
- * An entry whose link closes with a request for a record under way must refuse
- * that request. So the link stays until the relay has answered all it has.
+ * If its link closes while a request for an idempotency record is pending, an
+ * entry must refuse that request. So links stay open until the relay has answered
+ * all pending requests, or until the drain deadline.
  */
 static void
 wait_for_relay (gpointer data)
--- a/controller/engines.c
+++ b/controller/engines.c
@@ -5,10 +5,10 @@
 #include "common/log.h"
 #include "coord/shard.h"
 
-/* Part of each engine that is granted evenly to all its entries. */
+/* Fraction of each engine's capacity that is granted evenly to all its entries. */
 #define CREDIT_RESERVE 0.2
 
-/* Cancels of leaked requests under way at one engine. */
+/* Maximum number of pending cancels of leaked requests at one engine. */
 #define CANCELS_LIMIT 8
 
 #define ENGINE_KIND ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENGINE
@@ -18,13 +18,13 @@
   CtEnginesOptions options;
   CtOrders orders;
   CoCreditOptions credit;
-  KnlTime *frozen;       /* by shard: until when a former ledger's grants may be in force */
-  GHashTable *engines;   /* name -> Engine, those held */
+  KnlTime *frozen;       /* by shard: until when grants of an earlier ledger may be in force */
+  GHashTable *engines;   /* name -> Engine, those whose shard is held */
   GHashTable *placement; /* see controller/placement.h */
   CtEnginesCounts counts;
 };
 
-/* The last report, for operators. */
+/* The contents of the last report, for `show engines`. */
 typedef struct
 {
   gboolean known;
@@ -47,7 +47,7 @@
   CtOrder *order;
   KnlTimerId timer;
   EpCallId report;
-  GPtrArray *cancels; /* Cancel, those under way */
+  GPtrArray *cancels; /* Cancel, those pending */
   Shown shown;
 } Engine;
 
@@ -98,14 +98,15 @@
 {
   Cancel *cancel = data;
 
-  /* Whether it worked the next report tells: what is still listed is cancelled again. */
+  /* Even an acknowledged cancel may have failed: a request still listed by the next report is
+     cancelled again. */
   g_ptr_array_remove_fast (cancel->engine->cancels, cancel);
 }
 
 /*
- * A request whose entry has died, or whose cancel was lost, keeps the engine's
- * memory for good; the engine would fill up and take ever less work. Cancelled
- * at each report that still lists it, until the engine has given it back.
+ * A request whose entry has died, or whose cancel was lost, occupies the engine's
+ * memory indefinitely, and leaked requests would use up the engine's capacity. It
+ * is cancelled at each report that still lists it, until the engine has freed it.
  */
 static void
 cancel_leaks (Engine *engine)
@@ -206,7 +207,7 @@
       knl_kernel_now (engines->options.kernel) + co_credit_grants_last (&engines->credit);
 }
 
-/* Drops engines that are gone, have moved, or are held by another now. */
+/* Drops engines that left the view, have another address, or whose lease is no longer held. */
 static void
 drop_engines (CtEngines *engines)
 {
@@ -223,7 +224,7 @@
       if (member != NULL && strcmp (member->address, engine->address) == 0
           && co_lease_valid (engines->options.leases, engine->shard, NULL))
         continue;
-      /* It may come back while our own grants are still in force. */
+      /* The engine may return while grants of this ledger are still in force. */
       freeze (engines, engine->shard);
       g_hash_table_iter_remove (&iter);
     }
@@ -258,7 +259,7 @@
   return ((Engine *)value)->shard == GPOINTER_TO_UINT (data);
 }
 
-/* Ledgers of a shard that was lost must not outlive the loss: its next holder may grant anew. */
+/* Drops the ledgers of a lost shard at once: its next holder may grant the same capacity. */
 static void
 on_lease (CoLeases *leases, guint shard, guint64 fence, gpointer data)
 {
@@ -267,7 +268,7 @@
   g_hash_table_foreach_remove (engines->engines, engine_is_in_shard, GUINT_TO_POINTER (shard));
   if (fence == 0)
     return;
-  /* With the first number there has been no holder before: nothing is granted. */
+  /* Fencing number 1: no earlier holder can have granted anything. */
   if (fence > 1)
     freeze (engines, shard);
   ct_engines_refresh (engines);
@@ -308,7 +309,8 @@
   g_free (engines);
 }
 
-/* Engines that the entry uses no more are not in its request; what they list of it is a leak. */
+/* Engines that the entry no longer uses aren't in its request; requests of this entry that they
+   still list are leaks. */
 static void
 note_unclaimed (CtEngines *engines, const Alderturn__CreditRequest *request)
 {
@@ -338,7 +340,8 @@
       Alderturn__CreditGrant *grant;
       guint64 fence = 0;
 
-      /* Right before the act: a grant of a former holder would be given twice. */
+      /* Checked right before granting: the next holder of an expired lease may grant the same
+         capacity again. */
       if (engine == NULL || !co_lease_valid (engines->options.leases, engine->shard, &fence))
         continue;
       grant = g_new (Alderturn__CreditGrant, 1);
--- a/controller/gather.c
+++ b/controller/gather.c
@@ -4,7 +4,7 @@
 
 #include "wire/frame.h"
 
-/* A controller that has not answered by then is left out. */
+/* The rows of a controller that hasn't answered in this time are missing in the result. */
 #define ANSWER_LIMIT (700 * KNL_MSEC)
 
 struct CtGather
@@ -20,8 +20,8 @@
   CtGather *gather;
   char *table;
   json_t *rows;
-  GHashTable *asked; /* set of names */
-  guint missing;     /* answers yet to come */
+  GHashTable *asked; /* names of the controllers that the query was sent to */
+  guint missing;     /* number of answers still expected */
   KnlTimerId timer;
   CtGatherFunc done;
   gpointer data;
@@ -138,7 +138,7 @@
   if (json_is_array (rows))
     json_array_extend (question->rows, rows);
   json_decref (rows);
-  /* One that is linked but not known yet answers too. */
+  /* A linked controller that isn't in the membership yet answers too, though it isn't counted. */
   if (question->missing > 0 && --question->missing == 0)
     question_end (question);
 }
--- a/controller/gauges.c
+++ b/controller/gauges.c
@@ -1,4 +1,4 @@
-/** The gauges and counters of a controller's /metrics. */
+/** The gauges and counters of a controller, read when /metrics is requested. */
 
 #include "controller/state.h"
 
--- a/controller/http.c
+++ b/controller/http.c
@@ -12,7 +12,7 @@
 #define HEADER_BYTES_LIMIT 16384
 #define IDLE_SECONDS       60
 
-/* Answers that may be owed at once; beyond it operators get 503. */
+/* Maximum number of pending requests; further ones are answered with 503. */
 #define WAITING_LIMIT 256
 
 typedef struct
@@ -32,8 +32,8 @@
 } Waiting;
 
 /*
- * The operator has hung up. evhttp frees the request; an answer sent on it
- * later would touch freed memory.
+ * The operator has disconnected. evhttp frees the request, so the pending answer
+ * is dropped: sending it later would access freed memory.
  */
 static void
 on_connection_closed (struct evhttp_connection *connection, void *data)
--- a/controller/links.c
+++ b/controller/links.c
@@ -4,7 +4,7 @@
 
 #include "common/log.h"
 
-/* A link that is not kept is closed after so long without use. */
+/* A link that isn't kept is closed after this time without use. */
 #define IDLE_LIMIT (5 * KNL_SEC)
 
 struct CtLinks
@@ -15,9 +15,9 @@
   CtLinksEvents events;
   gpointer data;
   guint64 last_id;
-  GHashTable *peers;   /* id -> CtPeer, those whose handshake is done */
-  GHashTable *dialing; /* name -> CtPeer, those whose handshake is not */
-  GHashTable *kept;    /* set of names */
+  GHashTable *peers;   /* id -> CtPeer, after the handshake */
+  GHashTable *dialing; /* name -> CtPeer, outgoing links before the end of the handshake */
+  GHashTable *kept;    /* names of the controllers whose links are kept */
   KnlTimerId idle_timer;
 };
 
@@ -60,10 +60,11 @@
 }
 
 /*
- * An entry or controller that links again has lost its old link, though this
- * side may not have noticed: answers sent on the old one would go nowhere.
- * Two controllers may link to each other at the same time; if each closed the other's
- * link as the older one, they would go on so for ever. Each side replaces its own only.
+ * A peer that opens a new link has lost the old one, even if this side hasn't
+ * noticed: answers sent over the old link would be lost.
+ * Two controllers may connect to each other at the same time. If each closed the
+ * other's link as the older one, they would reconnect indefinitely. So a link only
+ * replaces one that was opened from the same side.
  */
 static void
 close_older_link (CtPeer *peer)
--- a/controller/main.c
+++ b/controller/main.c
@@ -1,4 +1,4 @@
-/** alderturn-controller: settings, sockets, signals and HTTP around a CtController. */
+/** The program alderturn-controller: settings, sockets, signals and HTTP for a CtController. */
 
 #include <signal.h>
 #include <stdlib.h>
@@ -45,7 +45,7 @@
 program_open (Program *program)
 {
   const CtSettings *settings = &program->settings;
-  /* The one use of wall time: a process started later has a higher incarnation. */
+  /* Wall time is used for the incarnation only: a process started later has a higher one. */
   guint64 incarnation = (guint64)g_get_real_time ();
 
   knl_process_open (&program->process, (guint32)incarnation);
@@ -151,7 +151,7 @@
                               argc, argv, &program.settings, NULL, &findings);
   if (program.settings.log_severity != NULL
       && !cm_log_severity_parse (program.settings.log_severity, &severity))
-    cm_findings_add (&findings, "flag", 0, 0, "--log-severity", "is no severity of syslog's");
+    cm_findings_add (&findings, "flag", 0, 0, "--log-severity", "is not a syslog severity");
   if (cm_findings_report (&findings))
     status = EXIT_FAILURE;
   else if (action == CM_SETTINGS_RUN)
--- a/controller/members.c
+++ b/controller/members.c
@@ -2,10 +2,10 @@
 
 #include <string.h>
 
-/* Several changes at once are told to the entries together. */
+/* Changes within this time are sent to the entries as one update. */
 #define COALESCE (20 * KNL_MSEC)
 
-/* The list is read so often a second by all controllers together at most. */
+/* Maximum rate of reads of the instance list, over all controllers together. */
 #define READS_PER_SECOND 20
 
 struct CtMembers
@@ -16,8 +16,8 @@
   TbCallId call;
   KnlTimerId poll;
   KnlTimerId refresh;
-  gboolean listed;      /* the list has been read */
-  gboolean told_listed; /* and the observer has been told */
+  gboolean listed;      /* the instance list has been read */
+  gboolean told_listed; /* `changed` has been called since then */
 };
 
 static void poll_list (gpointer data);
--- a/controller/operators.c
+++ b/controller/operators.c
@@ -15,11 +15,11 @@
 typedef struct
 {
   KnlTask base;
-  CtController *controller; /* NULL once it has gone */
-  GPtrArray *calls;         /* Call, those not yet answered */
+  CtController *controller; /* NULL after ct_operators_detach() */
+  GPtrArray *calls;         /* Call, not answered yet */
 } Operators;
 
-/* One operator's request until its answer. */
+/* An operator's request that hasn't been answered yet. */
 typedef struct
 {
   Operators *operators;
@@ -28,7 +28,7 @@
   TbCallId read;
   KnlTimerId step;
   char *table;
-  guint64 wanted;   /* revision waited for */
+  guint64 wanted;   /* the revision that the operator waits for */
   KnlTime deadline; /* of that wait */
 } Call;
 
@@ -95,7 +95,7 @@
   g_free (call);
 }
 
-/* Answers and ends the call; `body` is taken over and freed with free(). */
+/* Answers and frees the call. Takes ownership of `body`, which is freed with free(). */
 static void
 answer (Call *call, int status, char *body)
 {
@@ -373,8 +373,8 @@
 typedef struct
 {
   const char *method;
-  const char *path; /* ends in "/": a prefix */
-  gboolean open;    /* needs no token */
+  const char *path; /* a prefix if it ends in "/" */
+  gboolean open;    /* requires no operator token */
   void (*handle) (Call *call, const CtOperatorCall *request);
 } Route;
 
@@ -401,7 +401,7 @@
   return NULL;
 }
 
-/* Takes the same time wherever the two differ, so that a token can't be guessed by its parts. */
+/* Compares in constant time, so that a token can't be guessed byte by byte. */
 static gboolean
 token_equal (const char *given, const char *token)
 {
--- a/controller/order.c
+++ b/controller/order.c
@@ -6,7 +6,8 @@
 /* An order on its way may arrive so late: the limit of a call to an engine, and some. */
 #define ORDER_LIMIT (5 * KNL_SEC)
 
-/* After an order the engine has time to load, and its report to show it, before it is repeated. */
+/* Time between an order and its repetition, for the engine to load weights and report them; grows
+   from the first value to the second. */
 #define SETTLE_FIRST (2 * KNL_SEC)
 #define SETTLE_LIMIT (60 * KNL_SEC)
 
@@ -16,7 +17,7 @@
   char *name;
   guint shard;
   KnlTime gained;
-  KnlTime not_before; /* of the next order */
+  KnlTime not_before; /* earliest time of the next order */
   CmBackoff settle;
   EpCallId call;
 };
@@ -62,10 +63,11 @@
 }
 
 /*
- * An engine that ignores the number carries out an order of the former holder
- * that is still on its way. Ordered at once, it would be set back by that one;
- * so the former lease and its last order are waited out. What comes later
- * all the same is seen in the report and repaired.
+ * An engine that doesn't check fencing numbers also executes an order of the
+ * shard's former holder that is still in flight, which would revert an order sent
+ * now. So the first order waits until the former lease has expired and its last
+ * order must have arrived. A stale order that arrives even later shows in the
+ * engine's report and is corrected by another order.
  */
 static gboolean
 must_wait_out (const CtOrder *order, const EpReport *report)
@@ -106,7 +108,7 @@
   what.model = wanted->model;
   what.adapter = wanted->adapter;
   what.role = wanted->role;
-  /* Right before sending: this process may have been paused since the report came. */
+  /* Checked right before sending, as this process may have been paused since the report arrived. */
   if (!co_lease_valid (orders->leases, order->shard, &what.fence))
     return;
   cm_log (CM_LOG_INFO, "order", "s", "engine", order->name, "s", "model", what.model, "s",
--- a/controller/parts.c
+++ b/controller/parts.c
@@ -1,4 +1,4 @@
-/** Makes the parts of a controller from its settings. */
+/** Creates the modules of a controller from its settings. */
 
 #include "controller/metered.h"
 #include "controller/state.h"
@@ -7,26 +7,27 @@
 
 #include <string.h>
 
-/* Rows of suspects are read so often. */
+/* How often the rows of suspects are read, and how many suspects are kept. */
 #define SUSPECT_SCAN_INTERVAL (10 * KNL_SEC)
 #define SUSPECT_LIMIT         4096
 
-/* What a workspace was served counts half after so long, as at the entries. */
+/* Half-life of the service that a workspace has received; the same value as in the entries. */
 #define SHARE_HALF_LIFE (10 * KNL_SEC)
 
-/* A write of records waits so long for others to go with it. */
+/* Idempotency records. A write is delayed so that several records go into one batch. */
 #define IDEM_BATCH_DELAY  (3 * KNL_MSEC)
 #define IDEM_BEGIN_LIMIT  (2 * KNL_SEC)
 #define IDEM_FINISH_LIMIT (5 * KNL_SEC)
 #define IDEM_CACHE        10000
 
-/* The retention of records is counted in epochs of so long. */
+/* Length of the epochs in which the retention of idempotency records is counted, and the delay
+   between two pages of deletions. */
 #define IDEM_EPOCH      (3600 * KNL_SEC)
 #define IDEM_PAGE_PAUSE (500 * KNL_MSEC)
 
 #define COMPACT_INTERVAL (60 * KNL_SEC)
 
-/* A relay tries longer than a holder, which may be just changing. */
+/* Longer than the timeouts of a holder, as the shard may be changing its holder. */
 #define RELAY_BEGIN_LIMIT  (4 * KNL_SEC)
 #define RELAY_FINISH_LIMIT (10 * KNL_SEC)
 
--- a/controller/peers.c
+++ b/controller/peers.c
@@ -1,4 +1,4 @@
-/** Entries and other controllers: what is told to them and what they tell. */
+/** Messages exchanged with entries and other controllers. */
 
 #include "controller/state.h"
 #include "coord/overlay.h"
@@ -33,13 +33,13 @@
 {
   CtController *controller = data;
 
-  /* Controllers are not all linked: each passes on what is news to it, and only that. */
+  /* Not all controllers are linked: each forwards only the updates that are new to it. */
   ct_links_broadcast (
       controller->links, ALDERTURN__ROLE__ROLE_UNSPECIFIED,
       WR_FRAME (SUSPECT_UPDATE, suspect_update, (Alderturn__SuspectUpdate *)update));
 }
 
-/* `places` and `addresses` are of all controllers that are not leaving. */
+/* `places` and `addresses` list all controllers that aren't leaving, this one included. */
 static void
 keep_links (CtController *controller, const GArray *places, const GPtrArray *addresses)
 {
@@ -61,7 +61,8 @@
   ct_links_keep (controller->links, names, kept, n);
 }
 
-/* Who may hold shards, and who of the zone reads the configuration's revision often. */
+/* Updates the links to keep, the controllers that may hold shards, and whether this controller is
+   one of the zone's readers of the configuration's revision. */
 static void
 update_candidates (CtController *controller)
 {
@@ -152,9 +153,10 @@
 }
 
 /*
- * The first controller that hears of a crash writes it down. All must know which
- * endpoints crashed, not only how many, to count those that several of them heard
- * of; so each passes on what is news to it.
+ * The controller that receives a crash report from an entry writes it to the table.
+ * All controllers need the identity of the crashed endpoints, not only their number,
+ * so that a crash reported to several of them counts once. So each forwards reports
+ * that are new to it.
  */
 static void
 on_crash (CtController *controller, const CtPeer *peer, const Alderturn__Frame *frame)
--- a/controller/placement.c
+++ b/controller/placement.c
@@ -10,14 +10,14 @@
   const char *name;
   const char *label;
   gboolean taken;
-  guint64 weight; /* for the service being served */
+  guint64 weight; /* rank for the service or role being placed */
 } Engine;
 
 typedef struct
 {
   GArray *engines; /* Engine */
   GHashTable *placed;
-  gboolean rest; /* the services that take all that is left */
+  gboolean rest; /* placing the services that use all remaining engines */
 } Placer;
 
 static void
@@ -42,7 +42,7 @@
   return strcmp (x->name, y->name);
 }
 
-/* Engines by falling weight for `thing`, as rendezvous hashing ranks them. */
+/* Sorts the engines by their rendezvous hashing weight for `thing`, highest first. */
 static void
 rank (GPtrArray *engines, const char *thing)
 {
@@ -70,7 +70,8 @@
   return engines;
 }
 
-/* Of `n` engines so many take long prompts; both kinds have one as soon as there are two. */
+/* Number of engines for long prompts among `n`. With `part` between 0 and 1 and at least two
+   engines, either role has at least one engine. */
 static guint
 long_engines (guint n, double part)
 {
@@ -143,7 +144,7 @@
           && member->state != ALDERTURN__MEMBER_STATE__MEMBER_STATE_LEAVING)
         g_array_append_val (placer.engines, engine);
     }
-  /* Services that name a number come first, those that take the rest after them. */
+  /* Services with a fixed number of engines first, then those that use all remaining engines. */
   co_config_foreach (config, "service", place_service, &placer);
   placer.rest = TRUE;
   co_config_foreach (config, "service", place_service, &placer);
--- a/controller/relay.c
+++ b/controller/relay.c
@@ -4,16 +4,17 @@
 #include "coord/shard.h"
 #include "wire/frame.h"
 
-/* Credit requests passed on whose answers may still come; the entry asks again soon. */
+/* Number of forwarded credit requests whose answers can be matched. Older ones are overwritten and
+   their answers dropped, as entries repeat their requests soon. */
 #define CALLS_LIMIT 1024
 
-/* Share reports passed on over one link whose answers may still come. */
+/* Maximum number of unanswered share reports forwarded over one link; further ones are dropped. */
 #define SHARES_LIMIT 256
 
 typedef struct
 {
   guint64 call;
-  guint64 peer; /* the entry's link */
+  guint64 peer; /* id of the entry's link */
   guint64 its_call;
 } Passed;
 
@@ -22,8 +23,8 @@
   CtRelayOptions options;
   CtRelayIdem *idem;
   guint64 last_call;
-  Passed passed[CALLS_LIMIT]; /* by call modulo the limit */
-  GHashTable *shares;         /* link of a controller -> GQueue of entries' links, as guint64 * */
+  Passed passed[CALLS_LIMIT]; /* indexed by call modulo CALLS_LIMIT */
+  GHashTable *shares;         /* controller's link id -> GQueue of entries' link ids, guint64 * */
 };
 
 static void
@@ -64,7 +65,7 @@
   return peer;
 }
 
-/* The linked controller that holds the shard of "KIND/NAME", or NULL. */
+/* The controller that holds the shard of `kind` and `name`; NULL if unknown or not linked. */
 static CtPeer *
 remote_holder (const CtRelay *relay, const char *kind, const char *name)
 {
@@ -201,7 +202,8 @@
   g_ptr_array_free (shares, TRUE);
 }
 
-/* A link keeps the order of its frames: the answers to reports come in the order of the reports. */
+/* Share updates carry no call number. As a link keeps the order of its frames, the answers arrive
+   in the order of the reports, and the queue of the link matches them. */
 static void
 pass_shares (CtRelay *relay,
              const CtPeer *peer,
--- a/controller/relay_idem.c
+++ b/controller/relay_idem.c
@@ -2,10 +2,10 @@
 
 #include "wire/frame.h"
 
-/* Pause before a request that no holder took is tried again. */
+/* Delay before a request that no holder accepted is tried again. */
 #define RETRY_DELAY (100 * KNL_MSEC)
 
-/* Longest wait for another controller's answer before the request is sent again. */
+/* Timeout of another controller's answer, after which the request is sent again. */
 #define ANSWER_LIMIT (2500 * KNL_MSEC)
 
 #define PENDING_LIMIT 20000
@@ -15,24 +15,24 @@
   CtRelayOptions options;
   guint64 last_call;
   GHashTable *pending; /* call -> Pending */
-  GHashTable *foreign; /* set of Foreign */
+  GHashTable *foreign; /* set of Foreign *, owned */
 };
 
-/* A request of an entry until its answer. */
+/* An entry's request that hasn't been answered yet. */
 typedef struct
 {
   CtRelayIdem *relay;
-  guint64 call;     /* of ours, by which other controllers answer */
-  guint64 peer;     /* the entry's link; 0: nobody waits */
-  guint64 its_call; /* the entry's */
+  guint64 call;     /* number chosen by this relay, which other controllers' answers repeat */
+  guint64 peer;     /* id of the entry's link; 0: no entry waits for the answer */
+  guint64 its_call; /* number chosen by the entry */
   Alderturn__Frame *frame;
   KnlTime deadline;
   KnlTimerId timer;
-  gboolean local; /* this controller's own records work on it */
-  gboolean sent;  /* some holder may have begun it */
+  gboolean local; /* being processed by this controller's CoIdem */
+  gboolean sent;  /* a holder may have begun the record */
 } Pending;
 
-/* A request of another controller, worked on here. */
+/* A request forwarded by another controller, being processed here. */
 typedef struct
 {
   CtRelayIdem *relay;
@@ -116,7 +116,7 @@
                         n);
 }
 
-/* Takes the frame's body over by way of its encoding; `call` is set by the caller. */
+/* A deep copy, by packing and unpacking. `call` remains that of the original. */
 static Alderturn__Frame *
 frame_copy (const Alderturn__Frame *frame)
 {
@@ -155,9 +155,9 @@
 }
 
 /*
- * A holder may have made the record durable though its answer did not come.
- * The entry is told that nothing ran; the record must say so too, or the key
- * stays in use for a request that never was.
+ * A holder may have made the record durable although its answer wasn't received.
+ * The entry is answered that the request was refused and won't run it, so the record
+ * must become "not run" too; otherwise the key stays in use for a request that never ran.
  */
 static void
 record_not_run (CtRelayIdem *relay, const Alderturn__IdemBegin *begin)
@@ -203,7 +203,7 @@
 static void
 take_reply (Pending *pending, const Alderturn__IdemReply *reply)
 {
-  /* The shard may just be moving from one holder to the next. */
+  /* The shard may be moving from one holder to the next: try again. */
   if (reply->verdict == ALDERTURN__IDEM_VERDICT__IDEM_VERDICT_REFUSED
       && knl_kernel_now (pending->relay->options.kernel) < pending->deadline)
     {
--- a/controller/show.c
+++ b/controller/show.c
@@ -1,4 +1,4 @@
-/** What operators are shown: rows of JSON objects, a column a member. */
+/** Rows of the tables shown to operators: JSON objects with one member per column. */
 
 #include "controller/state.h"
 #include "coord/schema.h"
@@ -55,7 +55,7 @@
   return rows;
 }
 
-/* An entry and the controller beside it may have one name: a row is found by its kind too. */
+/* Rows are matched by kind too: an instance's entry and controller may have the same name. */
 static json_t *
 find_row (const json_t *rows, Alderturn__MemberKind kind, const char *name)
 {
--- a/include/controller/controller.h
+++ b/include/controller/controller.h
@@ -1,10 +1,10 @@
 #pragma once
 
 /**
- * A whole controller: membership, configuration, leases and all that they
- * decide, on a kernel, a transport and a platform given to it. It reads no
- * clock, opens no socket and handles no signal itself, so that a test can run
- * several on a paused clock.
+ * The controller: membership, configuration, leases and the decisions based on
+ * them, on a kernel, a transport and a platform supplied by the caller. It reads
+ * no clock, opens no socket and handles no signal itself, so that a test can run
+ * several controllers on a paused clock.
  */
 
 #include "common/metrics.h"
@@ -16,28 +16,32 @@
 
 typedef struct CtController CtController;
 
-/** All must outlive the controller. */
+/** All pointers must outlive the controller. */
 typedef struct
 {
   KnlKernel *kernel;
-  WrTransport *transport; /**< its config_revision is that of `config` */
+  WrTransport *transport; /**< its heartbeats announce the revision of `config` */
   const WrIdentity *identity;
   TbTable *platform;
   EpClient *endpoints;
-  CoConfig *config; /**< empty; the controller fills it */
+  CoConfig *config; /**< empty at first; filled by the controller */
   CmMetrics *metrics;
   const CtSettings *settings;
 } CtControllerOptions;
 
-/** NULL when the listen address can't be had. Operators' calls go to the service "operators". */
+/**
+ * Returns NULL if it can't listen on the identity's address. Operators' requests are handled by the
+ * service "operators".
+ */
 CtController *ct_controller_new (const CtControllerOptions *options);
 
-/** Ends at once; what a graceful end gives back lapses. */
+/** Stops at once, without releasing leases: they expire. */
 void ct_controller_free (CtController *controller);
 
 /**
- * Ends gracefully: leases are released, peers told. `done` is called once, when
- * that has happened or after the drain time; then free the controller.
+ * Shuts down gracefully: releases the leases, waits until the relay has answered its pending
+ * requests or the drain time has passed, and says goodbye to the peers. Then calls `done` once;
+ * the caller frees the controller.
  */
 void ct_controller_drain (CtController *controller, void (*done) (gpointer data), gpointer data);
 
--- a/include/controller/engines.h
+++ b/include/controller/engines.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /**
- * The engines whose shards this controller holds: their reports, credits,
- * leaked requests and orders. Of each engine one controller is the only one to
- * do any of this.
+ * The engines whose shards this controller holds: reads their reports, grants
+ * credits, cancels leaked requests and sends orders. For each engine only the
+ * controller that holds its shard does so.
  */
 
 #include "controller/members.h"
@@ -30,20 +30,20 @@
   guint64 reports;
   guint64 grants;
   guint64 orders;
-  guint64 leaks; /**< cancels sent */
+  guint64 leaks; /**< cancels sent for leaked requests */
 } CtEnginesCounts;
 
 CtEngines *ct_engines_new (const CtEnginesOptions *options);
 void ct_engines_free (CtEngines *engines);
 
-/** The view of members or the configuration has changed. */
+/** To be called after a change of the member view or the configuration. */
 void ct_engines_refresh (CtEngines *engines);
 
-/** Adds the grants (owned pointers) for the engines of `request` that are held here. */
+/** Adds grants (owned pointers) for those engines of `request` whose shard is held here. */
 void
 ct_engines_credit (CtEngines *engines, const Alderturn__CreditRequest *request, GPtrArray *grants);
 
-/** Rows of the engines held here, for `show engines`. */
+/** Rows of the engines whose shard is held here, for `show engines`; a new reference. */
 json_t *ct_engines_rows (const CtEngines *engines);
 
 CtEnginesCounts ct_engines_counts (const CtEngines *engines);
--- a/include/controller/gather.h
+++ b/include/controller/gather.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /**
- * Asks all controllers for rows that each of them alone knows, and joins them
- * with this one's. Nothing flows but on an operator's request; links that are
- * not kept are made for it.
+ * Collects rows that each controller has only for itself: queries all other
+ * controllers and joins their rows with this controller's. Queries are sent only
+ * for an operator's request; missing links are opened for it.
  */
 
 #include <jansson.h>
@@ -18,7 +18,7 @@
 /** `rows` is a JSON list, freed after the call. */
 typedef void (*CtGatherFunc) (const json_t *rows, gpointer data);
 
-/** Makes links to all other controllers that are known, and returns their number. */
+/** Opens links to all other known controllers, and returns the number of these controllers. */
 typedef guint (*CtGatherReachFunc) (gpointer data);
 
 typedef struct
@@ -32,15 +32,17 @@
 
 CtGather *ct_gather_new (const CtGatherOptions *options);
 
-/** Questions under way are dropped with their callback. */
+/** Pending queries are dropped; their callbacks aren't called. */
 void ct_gather_free (CtGather *gather);
 
-/** Ends by one callback, when all have answered or the time is up; never inside the call. */
+/**
+ * Calls `done` once, when all controllers have answered or after 700 ms; never inside this call.
+ */
 void ct_gather_ask (CtGather *gather, const char *table, CtGatherFunc done, gpointer data);
 
-/** A link to a controller is open: it is asked what has not been answered yet. */
+/** A link to a controller has opened: sends it the queries that are still pending. */
 void ct_gather_opened (CtGather *gather, CtPeer *peer);
 
-/** Frames of peers. */
+/** Handle frames received from peers. */
 void ct_gather_query (CtGather *gather, CtPeer *peer, const Alderturn__Query *query);
 void ct_gather_reply (CtGather *gather, const Alderturn__QueryReply *reply);
--- a/include/controller/links.h
+++ b/include/controller/links.h
@@ -1,17 +1,17 @@
 #pragma once
 
-/** The links of a controller: to entries, which link to it, and to other controllers. */
+/** The links of a controller: from entries, which connect to it, and to and from controllers. */
 
 #include "wire/link.h"
 
 typedef struct CtLinks CtLinks;
 
-/** One process at the other end. */
+/** The process at the other end of a link. */
 typedef struct
 {
   CtLinks *links;
   WrLink *link;
-  guint64 id; /**< of this link, never used again */
+  guint64 id; /**< of this link; never reused, 0 before the handshake */
   Alderturn__Role role;
   char *name;
   guint64 incarnation;
@@ -19,56 +19,59 @@
   char *region;
   char *address;
   char *caller_address;
-  guint64 revision; /**< of the configuration in force there, as last told */
-  KnlTime pulled;   /**< when its configuration was last asked for */
-  KnlTime used;     /**< when something was last sent to it, heartbeats aside */
-  gboolean dialed;  /**< this side made the link */
+  guint64 revision; /**< of the configuration in force there, as last reported */
+  KnlTime pulled;   /**< when its configuration was last requested; 0: never */
+  KnlTime used;     /**< when a frame other than a heartbeat was last sent to it */
+  gboolean dialed;  /**< this controller opened the link */
   gboolean draining;
   gboolean ready;
   guint in_flight;
 } CtPeer;
 
-/** All are called outside of the calls below, but for `closed`. */
+/** None is called inside one of the functions below, except `closed`. */
 typedef struct
 {
   void (*opened) (CtPeer *peer, gpointer data);
   void (*frame) (CtPeer *peer, const Alderturn__Frame *frame, gpointer data);
-  /** The peer is freed after the call. */
+  /** The peer is freed when this returns. */
   void (*closed) (CtPeer *peer, gpointer data);
 } CtLinksEvents;
 
-/** NULL when `address` can't be listened at. */
+/** `identity` must outlive the links. */
 CtLinks *ct_links_new (KnlKernel *kernel,
                        WrTransport *transport,
                        const WrIdentity *identity,
                        const CtLinksEvents *events,
                        gpointer data);
+/** FALSE if it can't listen on `address`. */
 gboolean ct_links_listen (CtLinks *links, const char *address);
 
-/** Closes all links, each with `closed`. */
+/** Closes all links; `closed` is called for each that was open. */
 void ct_links_free (CtLinks *links);
 
 /**
- * Starts a link to controller `name` unless there is one or one is being made. It is
- * closed when nothing has been sent over it for a while, unless it is kept.
+ * Opens a link to controller `name` unless there is one or one is being opened. It is closed after
+ * 5 to 10 seconds in which nothing was sent over it, unless it is kept by ct_links_keep().
  */
 void ct_links_connect (CtLinks *links, const char *name, const char *address);
 
-/** Makes and keeps links to these controllers, and no longer to those of the call before. */
+/** Opens links to these controllers and keeps them open; replaces the list of the call before. */
 void
 ct_links_keep (CtLinks *links, const char *const *names, const char *const *addresses, guint n);
 
 CtPeer *ct_links_find (CtLinks *links, Alderturn__Role role, const char *name);
 CtPeer *ct_links_find_id (CtLinks *links, guint64 id);
 
-/** Calls `func` for each peer of `role`; ROLE_UNSPECIFIED: of all. The callback must not close any.
+/**
+ * Calls `func` for each peer of `role`, or for all peers with ROLE_UNSPECIFIED. `func` must not
+ * close a link.
  */
 void ct_links_foreach (CtLinks *links,
                        Alderturn__Role role,
                        void (*func) (CtPeer *peer, gpointer data),
                        gpointer data);
 
-/** Sends to all peers of `role`, or to all. */
+/** Sends to each peer of `role`, or to all peers with ROLE_UNSPECIFIED. */
 void ct_links_broadcast (CtLinks *links, Alderturn__Role role, const Alderturn__Frame *frame);
 
 void ct_peer_send (CtPeer *peer, const Alderturn__Frame *frame);
--- a/include/controller/members.h
+++ b/include/controller/members.h
@@ -1,9 +1,10 @@
 #pragma once
 
 /**
- * Who is there, as this controller tells its entries: the membership of
- * coord/member.h, seeded by the platform's list, with what operators have
- * declared to be draining. A hint only: no promise rests on it.
+ * The view of the members that this controller sends to its entries: the
+ * membership of coord/member.h, seeded from the platform's instance list, with the
+ * members that operators declared to be draining shown as leaving. It is only a hint
+ * and no guarantee depends on it.
  */
 
 #include "controller/links.h"
@@ -14,7 +15,7 @@
 
 typedef struct CtMembers CtMembers;
 
-/** Called after the view has changed. */
+/** Called after the view has changed, and after the instance list was read for the first time. */
 typedef void (*CtMembersFunc) (CtMembers *members, gpointer data);
 
 typedef struct
@@ -24,7 +25,7 @@
   const CoConfig *config;
   CtLinks *links;
   const WrIdentity *identity;
-  KnlTime poll_interval; /**< between reads of the list, with few controllers */
+  KnlTime poll_interval; /**< between reads of the instance list; longer with many controllers */
   CtMembersFunc changed;
   gpointer data;
 } CtMembersOptions;
@@ -32,27 +33,27 @@
 CtMembers *ct_members_new (const CtMembersOptions *options);
 void ct_members_free (CtMembers *members);
 
-/** The membership beneath. */
+/** The underlying membership. */
 CoMembers *ct_members_known (CtMembers *members);
 
-/** TRUE once the platform's list has been read. */
+/** TRUE once the platform's instance list has been read. */
 gboolean ct_members_listed (const CtMembers *members);
 
-/** An entry is linked here, or its status has changed; its link has gone. */
+/** An entry has linked here or its draining state has changed; its link has closed. */
 void ct_members_entry (CtMembers *members, const CtPeer *peer);
 void ct_members_entry_gone (CtMembers *members, const CtPeer *peer);
 
-/** Computes the view anew, after a change of the configuration. */
+/** Recomputes the view; to be called after a change of the configuration. */
 void ct_members_refresh (CtMembers *members);
 
-/** The view, in order of name: Alderturn__Member, owned by `members` until the next change. */
+/** The view, sorted by name: Alderturn__Member, owned by `members` until the next change. */
 const GPtrArray *ct_members_view (const CtMembers *members);
 
-/** The member of the view with that kind and name, or NULL. */
+/** The member of that kind and name in the view, or NULL. */
 const Alderturn__Member *
 ct_members_find (const CtMembers *members, Alderturn__MemberKind kind, const char *name);
 
-/** What is known of that process of an entry. */
+/** The state of the entry process with that name and incarnation. */
 CoEntryState
 ct_members_entry_state (const CtMembers *members, const char *name, guint64 incarnation);
 
--- a/include/controller/metered.h
+++ b/include/controller/metered.h
@@ -1,9 +1,9 @@
 #pragma once
 
-/** A platform that counts the calls to another one by operation and status, and their times. */
+/** A platform wrapper that records the calls by operation and status, and their duration. */
 
 #include "common/metrics.h"
 #include "table/table.h"
 
-/** `beneath` and `metrics` must outlive it; freeing it does not free them. */
+/** The wrapper doesn't own `beneath`, the wrapped platform, or `metrics`; both must outlive it. */
 TbTable *ct_metered_platform_new (TbTable *beneath, KnlKernel *kernel, CmMetrics *metrics);
--- a/include/controller/operators.h
+++ b/include/controller/operators.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /**
- * The operators' requests, as messages between the HTTP front and the service
+ * Operators' requests, as messages between the HTTP server and the service
  * "operators". Each CtOperatorCall is answered by one CtOperatorAnswer to its
  * sender.
  */
@@ -19,11 +19,11 @@
 typedef struct
 {
   KnlMessage base;
-  guint64 number; /**< given back in the answer */
+  guint64 number; /**< chosen by the sender, repeated in the answer */
   char *method;
   char *path;  /**< decoded, without the query */
   char *query; /**< or NULL */
-  char *token; /**< of the Authorization header, or NULL */
+  char *token; /**< bearer token of the Authorization header, or NULL */
   char *body;  /**< NUL-terminated, or NULL */
 } CtOperatorCall;
 
@@ -37,4 +37,5 @@
 } CtOperatorAnswer;
 
 CtOperatorCall *ct_operator_call_new (guint64 number, const char *method, const char *path);
+/** Takes ownership of `body`, which is freed with free(). */
 CtOperatorAnswer *ct_operator_answer_new (guint64 number, int status, char *body);
--- a/include/controller/relay.h
+++ b/include/controller/relay.h
@@ -1,9 +1,10 @@
 #pragma once
 
 /**
- * Takes entries' requests for idempotency records, credits and shares to the
- * controllers that hold the shards they belong to, and the answers back. A
- * request that another controller passed on is answered here or not at all.
+ * Forwards entries' requests for idempotency records, credits and shares to the
+ * controllers that hold their shards, and the answers back to the entries. A
+ * request that was forwarded by another controller is never forwarded again:
+ * it is answered from the shards held here.
  */
 
 #include "controller/links.h"
@@ -11,14 +12,14 @@
 
 typedef struct CtRelay CtRelay;
 
-/** Answers by the shards that this controller holds itself. */
+/** Callbacks that answer for the shards held by this controller. */
 typedef struct
 {
-  /** Adds the grants for `request`'s engines that are held here to `grants` (owned pointers). */
+  /** Adds grants (owned pointers) for those engines of `request` whose shard is held here. */
   void (*credit) (const Alderturn__CreditRequest *request, GPtrArray *grants, gpointer data);
-  /** Adds the shares of `report`'s workspaces that are held here to `shares` (owned pointers). */
+  /** Adds shares (owned pointers) for those workspaces of `report` whose shard is held here. */
   void (*share) (const Alderturn__ShareReport *report, GPtrArray *shares, gpointer data);
-  /** Where a controller takes links; NULL: not known. Valid until members change. */
+  /** The address that a controller listens on, valid until members change; NULL: not known. */
   const char *(*address) (const char *controller, gpointer data);
 } CtRelayAnswers;
 
@@ -30,21 +31,24 @@
   CoIdem *idem;
   CtRelayAnswers answers;
   gpointer data;
-  KnlTime begin_limit;  /**< a begin that no holder has answered by then is refused */
-  KnlTime finish_limit; /**< the same for a finish, which the entry sends again */
+  KnlTime begin_limit;  /**< a begin that no holder has answered in this time is refused */
+  KnlTime finish_limit; /**< likewise for a finish, which the entry sends again */
 } CtRelayOptions;
 
 CtRelay *ct_relay_new (const CtRelayOptions *options);
 void ct_relay_free (CtRelay *relay);
 
-/** The link to a controller; NULL while one is being made, or when nobody knows where it is. */
+/**
+ * The link to a controller. NULL while the link is being opened, which this starts, or if the
+ * controller's address isn't known.
+ */
 CtPeer *ct_relay_reach (const CtRelayOptions *options, const char *controller);
 
-/** TRUE when the frame was one for the relay. */
+/** TRUE if the frame was of a type that the relay handles. */
 gboolean ct_relay_frame (CtRelay *relay, CtPeer *peer, const Alderturn__Frame *frame);
 
-/** A link has gone, with the answers that were to come over it. */
+/** A link has closed: the answers expected over it won't come. */
 void ct_relay_peer_closed (CtRelay *relay, const CtPeer *peer);
 
-/** Requests under way. */
+/** Idempotency requests of entries that haven't been answered yet. */
 guint ct_relay_pending (const CtRelay *relay);
--- a/include/controller/relay_idem.h
+++ b/include/controller/relay_idem.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** The relay's part for idempotency records: tries until a holder has answered or time is up. */
+/** Requests for idempotency records: retried until a holder has answered or they time out. */
 
 #include "controller/relay.h"
 
@@ -12,7 +12,7 @@
 void ct_relay_idem_begin (CtRelayIdem *relay, CtPeer *peer, const Alderturn__IdemBegin *begin);
 void ct_relay_idem_finish (CtRelayIdem *relay, CtPeer *peer, const Alderturn__IdemFinish *finish);
 
-/** Answers of other controllers. */
+/** Handle answers of other controllers. */
 void ct_relay_idem_reply (CtRelayIdem *relay, const Alderturn__IdemReply *reply);
 void ct_relay_idem_finished (CtRelayIdem *relay, const Alderturn__IdemFinishReply *reply);
 
--- a/include/controller/settings.h
+++ b/include/controller/settings.h
@@ -9,10 +9,10 @@
   char *instance;
   char *zone;
   char *region;
-  char *listen_address;   /**< links */
-  char *http_address;     /**< operators */
+  char *listen_address;   /**< for links of entries and controllers */
+  char *http_address;     /**< for operators */
   char *platform_address; /**< the table, the object store, the instance list */
-  char *entry_address;    /**< where callers reach the entry beside it; may be NULL */
+  char *entry_address;    /**< where callers reach the entry of this instance; may be NULL */
   char *secret;
   char *operator_token;
   char *log_severity;
--- a/include/controller/state.h
+++ b/include/controller/state.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** What the parts of a controller share; only files of controller/ include it. */
+/** State shared by the modules of a controller; included by files of controller/ only. */
 
 #include "controller/controller.h"
 #include "controller/engines.h"
@@ -16,14 +16,16 @@
 #include "coord/share.h"
 #include "coord/suspect.h"
 
-/** Of the polls of the configuration's revision, one in so many is made by those not its readers.
+/**
+ * Controllers that are not among the readers of their zone poll the configuration's revision less
+ * often by this factor.
  */
 #define CT_IDLE_POLLS 15
 
-/** Controllers of a zone that read the configuration's revision often. */
+/** Number of controllers per zone that poll the configuration's revision at the short interval. */
 #define CT_READERS_PER_ZONE 2
 
-/** Longest time that an operator's apply takes. */
+/** Timeout of an operator's apply. */
 #define CT_APPLY_LIMIT (5 * KNL_SEC)
 
 struct CtController
@@ -31,7 +33,7 @@
   CtControllerOptions options;
   KnlKernel *kernel;
   const CtSettings *settings;
-  TbTable *platform; /* options.platform, metered */
+  TbTable *platform; /* options.platform, wrapped to record metrics */
   CoConfig *config;
   CoConfigStore *store;
   CtLinks *links;
@@ -54,13 +56,13 @@
   gpointer drained_data;
 };
 
-/** Starts the parts; on return all pointers above are set. */
+/** Creates the modules; on return all pointers above are set. */
 void ct_controller_start_parts (CtController *controller);
 
-/** What links bring: peers that come and go, and their frames. */
+/** Handlers of links that open or close, and of frames received. */
 extern const CtLinksEvents ct_controller_link_events;
 
-/** The configuration towards peers. */
+/** Exchange of the configuration with peers. */
 void ct_config_send (CtController *controller, CtPeer *peer, guint64 have);
 void ct_config_changed (CoConfig *config, guint64 before, gpointer controller);
 void ct_config_ready (gpointer controller);
@@ -68,33 +70,33 @@
 void
 ct_config_push (CtController *controller, const CtPeer *peer, const Alderturn__ConfigPush *push);
 
-/** The view of members has changed. */
+/** Called after the member view has changed. */
 void ct_controller_members_changed (CtMembers *members, gpointer controller);
 
-/** Suspects that have become worse: told to the entries. */
+/** Called when the crash count of a suspect has risen: sends the update to all peers. */
 void ct_controller_suspects_changed (const Alderturn__SuspectUpdate *update, gpointer controller);
 
-/** Sets the gauges of /metrics to what is now. */
+/** Sets the metrics of /metrics to the present values. */
 void ct_controller_gauge (CtController *controller);
 
-/** The leases as `show leases` has them. */
+/** The rows of `show leases`; a new reference. */
 json_t *ct_show_leases (const CtController *controller);
 
-/** Starts the service "operators". */
+/** Starts the service "operators", which handles CtOperatorCall messages. */
 KnlTaskId ct_operators_start (CtController *controller);
 
-/** The controller goes away: calls under way end, later ones are refused. */
+/** Called before the controller is freed: answers pending and later calls with status 503. */
 void ct_operators_detach (KnlKernel *kernel, KnlTaskId operators);
 
-/** Rows of `table` that this controller alone knows; see controller/gather.h. */
+/** Rows of `table` that only this controller has; see controller/gather.h. A new reference. */
 json_t *ct_show_own_rows (const char *table, gpointer controller);
 
-/** Rows of a table of declared objects, secrets hidden. */
+/** Rows of the declared objects of `kind`, with secret fields masked; a new reference. */
 json_t *ct_show_objects (const CoConfig *config, const char *kind);
 
-/** Members of the view, with what `gathered` rows tell of them. */
+/** Rows of the members in the view, completed from the `gathered` rows; a new reference. */
 json_t *ct_show_instances (const CtController *controller, const json_t *gathered);
 json_t *ct_show_engines (const CtController *controller, const json_t *gathered);
 
-/** The JSON answer to an apply, and its HTTP status. */
+/** The JSON answer to an apply, freed with free(), and its HTTP status. */
 char *ct_apply_answer (const CoApplyResult *result, int *status);
--- a/tests/fakes/deployment.c
+++ b/tests/fakes/deployment.c
@@ -112,7 +112,8 @@
   daemon_stop (daemon_at (deployment, instance, kind));
 }
 
-/* A daemon can't be freed inside its own callback, so the outside does it. */
+/* Frees a drained daemon. A daemon can't be freed inside its own callback, so this runs in the
+   deployment's kernel. */
 static void
 on_drained_outside (gpointer data)
 {
@@ -290,7 +291,7 @@
   sd_instance_list_put (fk_store_instances (deployment->store), &row);
 }
 
-/* The controller's settings as its command line would give them. */
+/* Parses the controller's settings from a command line. */
 static void
 parse_settings (FkDeployment *deployment, FkInstance *instance)
 {
--- a/tests/fakes/deployment.h
+++ b/tests/fakes/deployment.h
@@ -1,10 +1,10 @@
 #pragma once
 
 /**
- * A whole deployment in one process on a paused clock: instances with an entry
+ * A complete deployment in one process on a paused clock: instances with an entry
  * and a controller each, engines and plain services, the platform and the
- * network between them. Every daemon has a kernel of its own, so each can be
- * killed, started again, frozen and drained alone.
+ * network between them. Each daemon has its own kernel, so that it can be killed,
+ * restarted, frozen and drained independently.
  */
 
 #include "controller/controller.h"
@@ -24,17 +24,17 @@
 
 typedef struct
 {
-  guint instances;       /**< in zones a, b, c by turns */
+  guint instances;       /**< assigned to the zones a, b and c in rotation */
   guint engines;         /**< label "gpu" */
-  guint services;        /**< plain ones, label "desk" */
-  KnlTime between_zones; /**< one way; 0: 1 ms */
+  guint services;        /**< plain services, label "desk" */
+  KnlTime between_zones; /**< one-way network delay between zones; 0: 1 ms */
   guint32 seed;
-  SdEngineSettings engine;             /**< of every engine */
-  const char *router;                  /**< of the entries; NULL: their default */
-  const char *const *controller_flags; /**< further ones, NULL-terminated; or NULL */
+  SdEngineSettings engine;             /**< settings of each engine */
+  const char *router;                  /**< router of the entries; NULL: their default */
+  const char *const *controller_flags; /**< extra command-line flags, NULL-terminated; or NULL */
 } FkDeploymentOptions;
 
-/** Starts everything; nothing has run before the clock is advanced. */
+/** Starts all daemons; they run only while the clock is advanced. */
 FkDeployment *fk_deployment_new (const FkDeploymentOptions *options);
 void fk_deployment_free (FkDeployment *deployment);
 
@@ -43,13 +43,13 @@
 FkFleet *fk_deployment_fleet (FkDeployment *deployment);
 FkStore *fk_deployment_store (FkDeployment *deployment);
 
-/** Starts a daemon that is down, under a higher incarnation. */
+/** Starts a daemon that is down, with a higher incarnation. */
 void fk_deployment_start (FkDeployment *deployment, guint instance, FkDaemonKind kind);
 
-/** Ends a daemon at once, as SIGKILL does; its links close. */
+/** Stops a daemon at once, as SIGKILL does; its links close. */
 void fk_deployment_kill (FkDeployment *deployment, guint instance, FkDaemonKind kind);
 
-/** Asks a daemon to end gracefully, as SIGTERM does; it is down when it has. */
+/** Starts a graceful shutdown, as SIGTERM does; the daemon is down once that has finished. */
 void fk_deployment_drain (FkDeployment *deployment, guint instance, FkDaemonKind kind);
 
 void fk_deployment_set_frozen (FkDeployment *deployment,
@@ -70,13 +70,13 @@
 const char *fk_deployment_engine_address (FkDeployment *deployment, guint engine);
 const char *fk_deployment_service_address (FkDeployment *deployment, guint service);
 
-/** Puts an endpoint's state ("live" or "leaving") into the platform's list; NULL takes it off. */
+/** Sets an engine's state ("live", "leaving") in the platform's instance list; NULL removes it. */
 void fk_deployment_list_engine (FkDeployment *deployment, guint engine, const char *state);
 
-/** The answer to a call to a controller's operators' service. */
+/** Called with the answer to an operator's request. `body` is valid until it returns. */
 typedef void (*FkOperatorFunc) (int status, const char *body, gpointer data);
 
-/** Sends it; without a controller there it is answered by status 0. */
+/** Sends an operator's request to a controller; if it is down, `done` gets status 0, no body. */
 void fk_deployment_operate (FkDeployment *deployment,
                             guint instance,
                             const char *method,
@@ -88,11 +88,17 @@
 
 /**
  * Applies `changes` (a JSON list) through controller 0 and advances the clock
- * until they are in force at every daemon that is up, 30 s at most.
+ * until they are in force at each daemon that is up. Waits at most 30 s for the
+ * controller to be ready, and 30 s for the changes. FALSE if they were refused or
+ * aren't in force by then.
  */
 gboolean fk_deployment_apply (FkDeployment *deployment, const char *changes);
 
-/** Token and changes of a usual configuration: services "letters" and "desk", workspaces 0 to
- * `workspaces` - 1. */
+/** The operator token of all controllers. */
 #define FK_OPERATOR_TOKEN "operator-token"
+
+/**
+ * The changes (a JSON list, owned by the caller) for a configuration with model "m7", services
+ * "letters" and "desk", and workspaces "w0" to "wN" with N = `workspaces` - 1.
+ */
 char *fk_deployment_usual_changes (guint workspaces);
--- a/tests/fakes/deployment_internal.h
+++ b/tests/fakes/deployment_internal.h
@@ -1,18 +1,17 @@
 #pragma once
 
-/** The deployment's inside, shared by its processes (deployment.c) and its operators
-    (deployment_operator.c). */
+/** Internals of the deployment, shared by deployment.c and deployment_operator.c. */
 
 #include "tests/fakes/deployment.h"
 
-/* One entry or controller process. */
+/* An entry or controller process. */
 typedef struct
 {
   FkDeployment *deployment;
   guint instance;
   FkDaemonKind kind;
   KnlRuntime *runtime;
-  KnlKernel *kernel; /* NULL: it is down */
+  KnlKernel *kernel; /* NULL while the daemon is down */
   WrIdentity identity;
   CoConfig *config;
   WrTransport *transport;
@@ -48,6 +47,6 @@
   FkFleet *fleet;
   guint64 last_incarnation;
   FkInstance *instances;
-  GPtrArray *engines;  /* address */
-  GPtrArray *services; /* address */
+  GPtrArray *engines;  /* addresses of the engines, char * */
+  GPtrArray *services; /* addresses of the plain services, char * */
 };
--- a/tests/fakes/deployment_operator.c
+++ b/tests/fakes/deployment_operator.c
@@ -3,7 +3,7 @@
 
 #define APPLY_LIMIT (30 * KNL_SEC)
 
-/* Sends one call to a controller's operators' service and takes the answer. */
+/* The task that receives the answer to one operator's request. */
 typedef struct
 {
   KnlTask base;
--- a/tests/unit/ct_controller_test.c
+++ b/tests/unit/ct_controller_test.c
@@ -1,4 +1,4 @@
-/** Whole controllers with their entries and engines in memory. */
+/** Controllers with their entries and engines, in a deployment in memory. */
 
 #include "coord/idem.h"
 #include "suite.h"
@@ -7,14 +7,14 @@
 
 #include <string.h>
 
-/* Kinds of rounds of one key: none, five faults, a holder that ends gracefully. */
+/* Kinds of rounds, see begin_fault(): no fault, five faults, a holder that drains. */
 #define ROUND_KINDS  7
 #define ROUND_DRAINS 6
 
 #define INSTANCES 3
 #define ENGINES   4
 
-/* Half of the engines, rounded: the default of long-share. */
+/* Engines in role "long": the default of long-share is 0.5, and the result is rounded. */
 #define LONG_ENGINES 2
 
 typedef struct
@@ -73,7 +73,7 @@
   fixture->body = g_strdup (body);
 }
 
-/* Rows of `show table` at a controller; a new reference. */
+/* The rows of `show TABLE` at a controller; a new reference. */
 static json_t *
 show (Fixture *fixture, guint instance, const char *table)
 {
@@ -91,7 +91,7 @@
   return rows;
 }
 
-/* How many rows have `value` as `column`. */
+/* The number of rows with `value` in `column`. Releases `rows`. */
 static guint
 count_rows (json_t *rows, const char *column, const char *value)
 {
@@ -115,7 +115,7 @@
                           fk_deployment_engine_address (fixture->deployment, engine));
 }
 
-/* Engines that entry `instance` knows to be leaving. */
+/* The number of endpoints that entry `instance` has in state leaving. */
 static guint
 leaving_at (Fixture *fixture, guint instance)
 {
@@ -135,8 +135,9 @@
 
 /*
  * Symptom: a leaving engine is sent new work until it refuses it.
- * Sequence: it says that it leaves in its report, or the list says so, or an operator.
- * Cause: only one entry's controller reads that; the others must be told.
+ * Sequence: the engine's report says that it is leaving, or the platform's instance list does,
+ * or an operator declares it to be draining.
+ * Cause: a single controller receives this and doesn't pass it on to the others and their entries.
  */
 static void
 test_all_entries_know_a_leaving_engine_within_three_seconds (void)
@@ -177,10 +178,10 @@
 }
 
 /*
- * Symptom: what is declared is not what runs.
- * Sequence: engines start with another model; one is set back later by an order
- * of a former holder that was still on its way.
- * Cause: orders given once and not compared with the engines' reports.
+ * Symptom: engines don't run what the configuration declares.
+ * Sequence: engines start with another model; later a delayed order of a former
+ * lease holder reverts one of them.
+ * Cause: orders are sent once and not compared with the engines' reports.
  */
 static void
 test_engines_come_to_run_what_is_declared_and_stay_so (void)
@@ -205,9 +206,10 @@
 }
 
 /*
- * Symptom: an engine's memory stays taken after an entry died.
- * Sequence: the entry is killed with a long request on an engine that holds what nobody reads.
- * Cause: nobody else knows of the request but the engine itself.
+ * Symptom: an engine's memory stays occupied after an entry has died.
+ * Sequence: the entry is killed while a long request runs on an engine that keeps requests whose
+ * connection is lost.
+ * Cause: only the engine still knows the request, and no controller cancels it.
  */
 static void
 check_dead_entry (gboolean restarts)
@@ -241,9 +243,9 @@
 }
 
 /*
- * Symptom: a restarted controller pushes an older configuration, or is not ready for long.
- * Sequence: the store goes down, a controller is restarted, another cut off and back.
- * Cause: the only way to the configuration is the store.
+ * Symptom: a restarted controller has an older configuration or doesn't become ready.
+ * Sequence: a controller is killed and started again while the store is down.
+ * Cause: the controller gets the configuration from the store only, not from its peers.
  */
 static void
 test_configuration_comes_from_peers_while_the_store_is_down (void)
@@ -266,7 +268,7 @@
   CU_ASSERT_EQUAL (fixture->status, 200);
 }
 
-/* The instance whose controller holds the record of workspace 0's key. */
+/* The instance whose controller holds the shard of `key` in workspace "w0". */
 static guint
 holder_of (Fixture *fixture, const char *key)
 {
@@ -279,7 +281,7 @@
   return instance;
 }
 
-/* The faults of controllers and table that records must outlive, one a round. */
+/* Starts the fault of a round, in the controller of instance `target` or in the table. */
 static void
 begin_fault (Fixture *fixture, guint round, guint target)
 {
@@ -324,11 +326,11 @@
 }
 
 /*
- * Symptom: a pressing order is carried out twice, or refused though nothing was wrong.
- * Sequence: the same key comes through all entries at once, and again once
- * another may have taken over, while the controllers that hold the records are
- * stopped or killed, or lose the table.
- * Cause: two holders, or one that forgets, each letting an attempt run.
+ * Symptom: a request with an idempotency key runs twice, or is refused without any fault.
+ * Sequence: the same key is sent through all entries at once, and again a few
+ * milliseconds later or after another controller may have gained the shard, while
+ * the controller that holds the record is frozen, killed or drained, or the table fails.
+ * Cause: two holders, or one that has lost the record, each allow an attempt.
  */
 static void
 test_a_key_runs_at_most_once_through_all_entries (void)
@@ -386,7 +388,7 @@
     const char *query;
     const char *body;
     int status;
-    const char *part; /* of the answer's body */
+    const char *part; /* contained in the answer's body */
   } rows[] = {
     { "GET", "/healthz", NULL, NULL, 200, "ok" },
     { "GET", "/metrics", NULL, NULL, 200, "alderturn_leases_held" },
--- a/tests/unit/ct_placement_test.c
+++ b/tests/unit/ct_placement_test.c
@@ -1,4 +1,4 @@
-/** Placement and orders: stable, spread, and never two senders' orders mixed. */
+/** Placement is stable and matches the declared numbers; only the lease holder sends orders. */
 
 #include "controller/order.h"
 #include "daemons.h"
@@ -59,7 +59,7 @@
   co_config_free (fleet->config);
 }
 
-/* Engines placed for `service` in `role` (NULL: any). */
+/* The number of engines placed for `service` in `role`; NULL: in any role. */
 static guint
 count_placed (GHashTable *placed, const char *service, const char *role)
 {
@@ -148,7 +148,8 @@
       fleet.members[gone].state = ALDERTURN__MEMBER_STATE__MEMBER_STATE_LIVE;
       g_hash_table_destroy (after);
     }
-  /* An engine of "a" is replaced by one of "b" or "c", one of "b" by one of "c". */
+  /* Each of the 15 engines of "a" that leaves is replaced by one of "b" or "c", which in "b" is
+     replaced by one of "c"; each of the 10 engines of "b" is replaced by one of "c". */
   CU_ASSERT_TRUE (moved <= 15 * 2 + 10);
   g_hash_table_destroy (before);
   fleet_clear (&fleet);
@@ -200,7 +201,7 @@
   daemons_clear (&sender->daemons);
 }
 
-/* Steps once a half second for `time`; when the first order was sent, or -1. */
+/* Steps every half second for `time`. Returns when the first order was sent, or -1 if none was. */
 static KnlTime
 first_order (Sender *sender, KnlTime time)
 {
@@ -219,9 +220,9 @@
 }
 
 /*
- * Symptom: an engine that ignores fencing numbers runs what a former holder ordered.
- * Sequence: the former holder's order is still on its way when the new one sends its own.
- * Cause: nothing but time tells the two apart there.
+ * Symptom: an engine that doesn't check fencing numbers runs what a former holder ordered.
+ * Sequence: the former holder's order is still in flight when the new holder sends its own.
+ * Cause: such an engine executes whichever order arrives last, so only waiting prevents it.
  */
 static void
 test_the_former_holders_orders_are_waited_out (void)
@@ -236,7 +237,11 @@
     }
 }
 
-/* A paused sender finds its lease gone before it sends, whatever it had decided before. */
+/*
+ * Symptom: a controller sends an order without holding the shard.
+ * Sequence: the process is paused until its lease has expired, then continues.
+ * Cause: the lease isn't checked right before the order is sent.
+ */
 static void
 test_no_order_without_a_lease_at_that_moment (void)
 {
--- a/tests/unit/daemons.h
+++ b/tests/unit/daemons.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** Kernels of several daemons on one paused clock, each with a client of one platform in memory. */
+/** Kernels of several daemons on one paused clock; their platform clients share one store. */
 
 #include "kernel/paused.h"
 #include "tests/fakes/memory_platform.h"
