--- a/controller/gather.c
+++ b/controller/gather.c
@@ -11,7 +11,7 @@
 {
   CtGatherOptions options;
   guint64 last_call;
-  GHashTable *questions; /* call -> Question */
+  GHashTable *questions; /* call -> `Question` */
 };
 
 typedef struct
--- a/controller/http.c
+++ b/controller/http.c
@@ -20,7 +20,7 @@
   KnlTask base;
   struct evhttp *server;
   guint64 last_number;
-  GHashTable *waiting; /* number -> Waiting */
+  GHashTable *waiting; /* number -> `Waiting` */
 } Http;
 
 typedef struct
--- a/controller/relay_idem.c
+++ b/controller/relay_idem.c
@@ -15,7 +15,7 @@
   CtRelayOptions options;
   guint64 last_call;
   GHashTable *pending; /* call -> Pending */
-  GHashTable *foreign; /* set of Foreign *, owned */
+  GHashTable *foreign; /* set of `Foreign`, owned */
 };
 
 /* An entry's request that hasn't been answered yet. */
--- a/tests/unit/ct_placement_test.c
+++ b/tests/unit/ct_placement_test.c
@@ -148,8 +148,8 @@
       fleet.members[gone].state = ALDERTURN__MEMBER_STATE__MEMBER_STATE_LIVE;
       g_hash_table_destroy (after);
     }
-  /* Each of the 15 engines of "a" that leaves is replaced by one of "b" or "c", which in "b" is
-     replaced by one of "c"; each of the 10 engines of "b" is replaced by one of "c". */
+  /* At most two moves for each of the 15 engines of "a", as an engine of "b" may replace it and be
+     replaced by one of "c"; at most one move for each of the 10 engines of "b". */
   CU_ASSERT_TRUE (moved <= 15 * 2 + 10);
   g_hash_table_destroy (before);
   fleet_clear (&fleet);
