--- a/ctl/change.c
+++ b/ctl/change.c
@@ -67,8 +67,9 @@
 }
 
 /*
- * The schema checks whole objects. Here one field is checked alone, so that
- * its findings get its own place; "is required" of the others is left out.
+ * The schema checks complete objects. Checks an object with this field only, so
+ * that findings get the field's location, and drops the findings on other
+ * fields, such as required fields that are missing.
  */
 static void
 field_check (const ClChange *change,
--- a/ctl/command.c
+++ b/ctl/command.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Sorted by name. */
+/* Sorted by name, for bsearch(). */
 static const ClCommandClass *const commands[] = {
   &cl_command_apply, &cl_command_drain,   &cl_command_help, &cl_command_remove, &cl_command_set,
   &cl_command_show,  &cl_command_undrain, &cl_command_wait, &cl_command_why,    NULL,
--- a/ctl/commands/apply.c
+++ b/ctl/commands/apply.c
@@ -77,8 +77,8 @@
   return FALSE;
 }
 
-/* TRUE when the finding is about a field that the file sets: others may be missing only because
- * their line was wrong. */
+/* TRUE when the finding concerns a field that the file sets. Other fields may be missing only
+ * because of a syntax error in the file. */
 static gboolean
 is_about_a_field (const Apply *apply, const CmFinding *finding)
 {
@@ -96,8 +96,8 @@
   return FALSE;
 }
 
-/* Whether a reference leads anywhere only the controller knows: a dry run of what could be read
- * shows it in the same answer as the mistakes that were found here. */
+/* Only the controller knows whether referenced objects exist. A dry run of the changes that could
+ * be parsed reports dangling references together with the parser's findings. */
 static void
 apply_review (ClCommand *command, ClSession *session, CmFindings *findings)
 {
--- a/ctl/commands/help.c
+++ b/ctl/commands/help.c
@@ -7,8 +7,8 @@
 typedef struct
 {
   ClCommand command;
-  const ClCommandClass *about; /* or NULL */
-  const CoKind *kind;          /* or NULL */
+  const ClCommandClass *about; /* command to explain; or NULL */
+  const CoKind *kind;          /* kind to explain; or NULL */
 } Help;
 
 static void
--- a/ctl/commands/wait.c
+++ b/ctl/commands/wait.c
@@ -4,7 +4,8 @@
 #define DEFAULT_SECONDS 30.0
 #define SECONDS_LIMIT   86400.0
 
-/* A controller holds one question open this long at most; then we ask again, another one too. */
+/* Longest time that one request waits at a controller. After it the request is repeated, at another
+ * controller if this one fails. */
 #define ROUND    (2 * KNL_SEC)
 #define INTERVAL (200 * KNL_MSEC)
 
@@ -100,7 +101,7 @@
       if (result->status == CL_DONE || result->status == CL_REFUSED || result->status == CL_BAD
           || left <= 0)
         return result;
-      /* A controller that answers at once would otherwise be asked without pause. */
+      /* Avoids a tight loop when controllers answer or fail at once. */
       transport->klass->pause (transport, MIN (left, INTERVAL));
     }
 }
--- a/ctl/commands/why.c
+++ b/ctl/commands/why.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-/* INSTANCE~INCARNATION~NUMBER: the instance is the entry that made the request. */
+/* A request id is INSTANCE~INCARNATION~NUMBER, INSTANCE being the entry that assigned it. */
 #define PART_SEPARATOR '~'
 
 typedef struct
--- a/ctl/condition.c
+++ b/ctl/condition.c
@@ -4,8 +4,8 @@
 
 #include "ctl/value.h"
 
-/* Conditions are walked by recursion; without bounds a script's endless one would overflow the
- * stack and end the program with a crash in place of a finding. */
+/* Conditions are parsed and evaluated recursively. Without these limits a very long condition from
+ * a script would overflow the stack and crash the program instead of giving a finding. */
 #define NESTING_LIMIT 64
 #define JOINT_LIMIT   256
 
@@ -32,11 +32,11 @@
 struct ClCondition
 {
   ConditionType type;
-  ClCondition *left; /* also what a NOT holds */
+  ClCondition *left; /* also the operand of CONDITION_NOT */
   ClCondition *right;
   char *column;
   Operator op;
-  char **values; /* one, or those of "in" */
+  char **values; /* NULL-terminated; several for OPERATOR_IN only */
 };
 
 void
@@ -163,7 +163,7 @@
   return NULL;
 }
 
-/* A joint of two conditions; frees the left one when there is no right one. */
+/* Joins two conditions. Frees `left` and returns NULL if `right` is NULL. */
 static ClCondition *
 join (ConditionType type, ClCondition *left, ClCondition *right)
 {
@@ -181,7 +181,7 @@
 
 typedef ClCondition *(*PartParseFunc) (ClParser *parser, const ClTable *table, guint depth);
 
-/* One or more parts with `word` between them. */
+/* Parses one or more operands separated by `word`. */
 static ClCondition *
 joints_parse (ClParser *parser,
               const ClTable *table,
@@ -265,7 +265,7 @@
   return g_strdup ("-");
 }
 
-/* Below, at or above: negative, 0 or positive. */
+/* Negative, 0 or positive if the cell is less than, equal to or greater than `value`. */
 static int
 cell_compare (const json_t *cell, const char *value)
 {
--- a/ctl/entries.c
+++ b/ctl/entries.c
@@ -47,7 +47,7 @@
   }
 }
 
-/* What entry `row` has replied. */
+/* Handles the reply of the entry in `row`, a row of the instances table. */
 static void
 reply_take (const json_t *row,
             const ClReply *reply,
@@ -69,7 +69,7 @@
     }
 }
 
-/* Asks the entries of `chosen`, rows of instances, together. */
+/* Queries all entries in `chosen`, rows of the instances table, concurrently. */
 static void
 entries_ask (ClSession *session,
              const GPtrArray *chosen,
--- a/ctl/file.c
+++ b/ctl/file.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* The token `ahead` places on, or the last one. */
+/* The token `ahead` positions after the next one, or the last token. */
 static const ClToken *
 peek_ahead (const ClParser *parser, guint ahead)
 {
@@ -22,7 +22,7 @@
   return token->type == CL_TOKEN_WORD || token->type == CL_TOKEN_STRING;
 }
 
-/* TRUE before "KIND NAME {" or "remove KIND NAME" with a kind that there is. */
+/* TRUE before "KIND NAME {", or before "remove KIND" with a known kind. */
 static gboolean
 sees_object (const ClParser *parser)
 {
@@ -48,7 +48,7 @@
   return cl_parser_peek (parser)->type == CL_TOKEN_END;
 }
 
-/* After a mistake, so that the rest of the file is still checked. */
+/* Skips to the next field after an error, so that the rest of the file is still checked. */
 static void
 skip_to_field (ClParser *parser)
 {
--- a/ctl/http.c
+++ b/ctl/http.c
@@ -11,11 +11,11 @@
 #include "common/settings.h"
 #include "kernel/event_runtime.h"
 
-/* More than the rows of 10,000 engines; a bound against an answer without end. */
+/* Larger than the rows of 10,000 engines; bounds the memory used by an endless answer. */
 #define ANSWER_LIMIT ((gssize)64 * 1024 * 1024)
 
-/* Asked at a time: thousands of entries take seconds, of which those that are silent take one limit
- * together, and the machine's descriptors suffice. */
+/* Calls made concurrently. High enough that thousands of entries are queried in seconds and that
+ * entries which don't answer time out in parallel; low enough for the limit on file descriptors. */
 #define CONNECTIONS_LIMIT 64
 
 typedef struct
@@ -26,7 +26,7 @@
   KnlKernel *kernel;
 } Http;
 
-/* Calls that wait for their replies together. */
+/* Calls that are made concurrently. */
 typedef struct
 {
   Http *http;
@@ -44,7 +44,7 @@
   ClReply *reply;
   struct evhttp_connection *connection;
   KnlTimerId limit;
-  gboolean failed; /* after the connection came about */
+  gboolean failed; /* after the connection was established */
 } Exchange;
 
 void
@@ -75,7 +75,7 @@
     event_base_loopbreak (batch->http->base);
 }
 
-/* Not at once: a connection must not be freed inside of its own callback. */
+/* Deferred to a timer, because a connection must not be freed inside its own callback. */
 static void
 exchange_end_soon (Exchange *exchange)
 {
@@ -128,8 +128,8 @@
   return fd >= 0 && getpeername (fd, (struct sockaddr *)&peer, &length) == 0;
 }
 
-/* Counted from the call on, over connecting, sending and the whole answer: a connection that went
- * silent for good would otherwise hold the operator for ever. */
+/* The time limit covers connecting, sending and the complete answer. Without it a connection that
+ * stops responding would block the program indefinitely. */
 static void
 on_limit (gpointer data)
 {
--- a/ctl/lexer.c
+++ b/ctl/lexer.c
@@ -32,7 +32,7 @@
   lexer->at = g_utf8_next_char (lexer->at);
 }
 
-/* Takes `text` over. */
+/* Takes ownership of `text`. */
 static void
 lexer_push (Lexer *lexer, ClTokenType type, char *text, guint line, guint column)
 {
--- a/ctl/main.c
+++ b/ctl/main.c
@@ -1,4 +1,4 @@
-/** alderturnctl: asks what is running and issues changes, for people and scripts. */
+/** alderturnctl: shows the state of the system and applies changes, for operators and scripts. */
 
 #include <errno.h>
 #include <signal.h>
@@ -10,7 +10,7 @@
 #include "ctl/command.h"
 #include "ctl/output.h"
 
-/* A bound against a file that never ends, such as a device. */
+/* Limits the input read from a file without an end, such as a device. */
 #define INPUT_LIMIT ((gsize)16 * 1024 * 1024)
 
 typedef struct
@@ -179,7 +179,7 @@
     }
 }
 
-/* Stops at the first command that is not done: the next may build on it. */
+/* Stops at the first command that doesn't succeed, as the following ones may depend on it. */
 static int
 run_commands (const GPtrArray *commands, ClSession *session, gboolean json)
 {
@@ -265,7 +265,8 @@
   CmSettingsAction action;
   int status = CL_DONE;
 
-  /* A controller that goes away while it is written to must not end us without a word. */
+  /* Otherwise writing to a connection that the controller has closed would kill the program without
+   * a message. */
   signal (SIGPIPE, SIG_IGN);
   cm_findings_init (&findings);
   action =
--- a/ctl/output.c
+++ b/ctl/output.c
@@ -53,7 +53,7 @@
     }
 }
 
-/* Control characters in names or details would garble a terminal. */
+/* Replaces control characters in names or details, which would garble the terminal, by spaces. */
 static char *
 printable_cell (const json_t *row, const char *column)
 {
--- a/ctl/query.c
+++ b/ctl/query.c
@@ -105,7 +105,7 @@
   return -1;
 }
 
-/* After a mistake in one clause the next ones are still read, so that their findings show too. */
+/* Skips to the next clause after an error, so that findings on later clauses are reported too. */
 static void
 skip_to_clause (ClParser *parser)
 {
@@ -162,7 +162,7 @@
   return query->columns != NULL ? g_strdupv (query->columns) : cl_table_columns (query->table);
 }
 
-/* Rows without the column go first, then numbers, then texts. */
+/* Sorts null and missing cells first, then numbers, then texts. */
 static int
 compare_cells (const json_t *a, const json_t *b)
 {
--- a/ctl/session.c
+++ b/ctl/session.c
@@ -20,7 +20,7 @@
   return text != NULL ? text : "";
 }
 
-/* The "error" member is a text at the controller, an object at the entry. */
+/* Controllers send "error" as a string, entries as an object with a "message". */
 static const char *
 error_text (const ClReply *reply)
 {
@@ -118,7 +118,7 @@
       cl_reply_free (reply);
       if (last->status == CL_REFUSED)
         break;
-      /* Asking changes nothing, so a lost answer is the same as none. */
+      /* A GET changes nothing, so a lost answer is equivalent to a request that was not run. */
       last->status = CL_NOT_RUN;
     }
   *failure = last;
@@ -169,7 +169,7 @@
   g_free (application->body);
 }
 
-/* The controller's findings name a change by its index; people need the file's line. */
+/* The controller's findings refer to changes by index; converts the index to a source location. */
 static ClResult *
 result_refused (const Application *application, const ClReply *reply)
 {
@@ -224,7 +224,7 @@
   return result;
 }
 
-/* One attempt. The result is final unless it says not run or unknown. */
+/* Makes one attempt. The result is final unless its status is CL_NOT_RUN or CL_UNKNOWN. */
 static ClResult *
 application_try (Application *application, const char *address, KnlTime left)
 {
@@ -260,7 +260,8 @@
   return result->status != CL_NOT_RUN && result->status != CL_UNKNOWN;
 }
 
-/* Doubled each round; one operator's program needs no jitter against itself. */
+/* Doubles with each round over the addresses. No jitter, as a single client can't cause
+ * synchronized retries. */
 static KnlTime
 pause_after_round (guint round)
 {
@@ -268,9 +269,10 @@
 }
 
 /*
- * Time that must be left for another attempt. An attempt that we cut short
- * ourselves ends as unknown, though all before it were surely not run; when one
- * before it was lost already, any answer helps.
+ * Minimum time left for another attempt to be made. An attempt cut short by the
+ * command's own deadline ends as CL_UNKNOWN, even if all earlier attempts were
+ * certainly not run. Once the outcome of an earlier attempt is unknown, that
+ * can't make the result worse, and an answer may settle it.
  */
 static KnlTime
 application_least (const Application *application)
@@ -304,8 +306,8 @@
       transport->klass->pause (transport,
                                MIN (pause_after_round (i / count), MAX (left, KNL_MSEC)));
     }
-  /* An attempt whose answer was lost may have changed the configuration; a later "not run" speaks
-   * for its own attempt only. Saying "not run" here would have the operator do it again. */
+  /* An attempt whose answer was lost may have changed the configuration; a later "not run" refers
+   * to its own attempt only. Reporting CL_NOT_RUN would make the operator repeat the change. */
   if (!is_final (result))
     result->status = application->uncertain && !application->dry_run ? CL_UNKNOWN : CL_NOT_RUN;
   return result;
--- a/ctl/value.c
+++ b/ctl/value.c
@@ -3,7 +3,7 @@
 #include <math.h>
 #include <string.h>
 
-/* Whole numbers up to here are exact in a double. */
+/* 2^53: integers up to this value are exact in a double. */
 #define EXACT_LIMIT 9007199254740992.0
 
 gboolean
@@ -35,7 +35,7 @@
   return json_real (number);
 }
 
-/* What does not fit the field's type stays a text, which the schema's check then reports. */
+/* Text that doesn't match the field's type stays a string, which the schema check then reports. */
 static json_t *
 word_to_json (const char *text, const CoField *field)
 {
--- a/include/ctl/change.h
+++ b/include/ctl/change.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** A change to one declared object, with the places where it was written. */
+/** A change to one declared object, with its locations in the source text. */
 
 #include <jansson.h>
 
@@ -16,39 +16,45 @@
 typedef struct
 {
   gboolean remove;
-  gboolean replace; /**< the fields are all that the object has, not just those to alter */
+  gboolean replace; /**< `fields` holds the whole object; fields left out get their defaults */
   const CoKind *kind;
   char *name;
   json_t *fields;   /**< an object, empty for a removal */
-  gboolean expects; /**< refused unless the object has revision `expect` */
+  gboolean expects; /**< refused unless the object's revision is `expect` */
   guint64 expect;
-  char *source;
+  char *source;       /**< name of the file or command line, for findings */
   ClPlace place;      /**< of the object */
-  GHashTable *places; /**< field -> ClPlace, also of fields whose value could not be read */
+  GHashTable *places; /**< field -> ClPlace, including fields whose value is invalid */
 } ClChange;
 
 /**
- * Takes "KIND NAME". NULL after a finding that leaves nothing to go on with;
- * the change's kind is NULL when there is none of that name.
+ * Parses "KIND NAME". Returns NULL after a finding when the kind or the name is
+ * missing. An unknown kind is a finding too; the change then has `kind` NULL.
  */
 ClChange *cl_change_parse (ClParser *parser);
 ClChange *cl_change_new (const CoKind *kind, const char *name, const char *source, ClPlace place);
 void cl_change_free (ClChange *change);
 
-/** Takes "FIELD = VALUE" and checks it by the kind; FALSE after a finding on its syntax. */
+/**
+ * Parses "FIELD = VALUE" and checks the value against the kind's schema.
+ * Returns FALSE after a syntax error only, not for a value that the schema rejects.
+ */
 gboolean cl_change_parse_field (ClChange *change, ClParser *parser);
 
-/** Takes "if revision N" when it is there; FALSE after a finding. */
+/** Parses an optional "if revision N". Returns FALSE after a finding. */
 gboolean cl_change_parse_expect (ClChange *change, ClParser *parser);
 
-/** Findings for required fields that are not written at all. */
+/** Adds a finding for each required field that is missing from the source text. */
 void cl_change_check_required (const ClChange *change, CmFindings *findings);
 
-/** The place of the field that a finding's `where` ("KIND NAME.FIELD") names, else the object's. */
+/**
+ * The location of the field that a finding's `where` ("KIND NAME.FIELD") refers to, or that of the
+ * object when the change doesn't set this field.
+ */
 ClPlace cl_change_locate (const ClChange *change, const char *where);
 
-/** The field that a finding's `where` names, or NULL when the change does not set it. */
+/** The field that a finding's `where` refers to, or NULL when the change doesn't set it. */
 const char *cl_change_field_of (const ClChange *change, const char *where);
 
-/** Changes, an array of ClChange, as the controller's POST /v1/apply takes them. */
+/** Encodes an array of ClChange as the "changes" member of POST /v1/apply. */
 json_t *cl_changes_to_json (const GPtrArray *changes);
--- a/include/ctl/command.h
+++ b/include/ctl/command.h
@@ -1,10 +1,10 @@
 #pragma once
 
 /**
- * Commands. Each has a file in ctl/commands/ and a row in the sorted table of
- * ctl/command.c. Parsing checks all arguments and does no I/O but reading the
- * files that are named; running talks to controllers and entries and gives a
- * result. Neither prints.
+ * Commands. Each has a file in ctl/commands/ and an entry in the sorted table of
+ * ctl/command.c. Parsing checks all arguments; its only I/O is reading the files
+ * given as arguments. Running sends requests to controllers and entries and
+ * returns a result. Neither prints.
  */
 
 #include "ctl/parser.h"
@@ -16,11 +16,13 @@
 {
   const char *name;
   const char *usage;
-  const char *help; /**< a few lines for people */
-  /** Takes the arguments after the name. NULL when findings leave nothing to run. */
+  const char *help; /**< a few lines of text, printed by `help` */
+  /** Parses the arguments after the command's name. Returns NULL after findings that prevent it
+   * from running. */
   ClCommand *(*parse) (ClParser *parser);
   ClResult *(*run) (ClCommand *command, ClSession *session);
-  /** Adds findings that only a controller can make to those of the parser; or NULL. */
+  /** Adds findings that only a controller can determine, such as references to objects that don't
+   * exist. Called when the commands have findings already; may be NULL. */
   void (*review) (ClCommand *command, ClSession *session, CmFindings *findings);
   void (*destroy) (ClCommand *command);
 } ClCommandClass;
@@ -41,13 +43,12 @@
 extern const ClCommandClass cl_command_wait;
 extern const ClCommandClass cl_command_why;
 
-/** All commands by name, ended by NULL. */
+/** All commands, sorted by name, NULL-terminated. */
 const ClCommandClass *const *cl_commands (void);
 
-/** The command of that name, or NULL. */
 const ClCommandClass *cl_command_find (const char *name);
 
-/** The commands in `text`, an array of ClCommand, separated by ";" or line ends. */
+/** Parses commands separated by ";" or line ends; returns an array of ClCommand. */
 GPtrArray *cl_commands_parse (const char *text,
                               const char *source,
                               const ClLoader *loader,
--- a/include/ctl/drain.h
+++ b/include/ctl/drain.h
@@ -1,10 +1,10 @@
 #pragma once
 
-/** What drain and undrain share: setting the state that operators want of an instance. */
+/** Shared by drain and undrain: sets the administrative state of an instance. */
 
 #include "ctl/command.h"
 
-/** Takes the instance's name; `klass` is the command, `state` a value of the field "state". */
+/** Parses the instance's name; `state` is the value to set in its field "state". */
 ClCommand *cl_drain_parse (ClParser *parser, const ClCommandClass *klass, const char *state);
 ClResult *cl_drain_run (ClCommand *command, ClSession *session);
 void cl_drain_destroy (ClCommand *command);
--- a/include/ctl/entries.h
+++ b/include/ctl/entries.h
@@ -1,16 +1,19 @@
 #pragma once
 
-/** Asking all entries the same thing: each knows only its own requests. */
+/** Sends the same query to all entries, as each entry knows only its own requests. */
 
 #include "ctl/session.h"
 
 /**
- * Asks a controller for the entries' addresses and then each of them for
- * `path`; `only` (or NULL) limits it to the entry of that name, if there is
- * one. What stands in the array `list` of their answers is added to the array
- * `rows`, each object with the entry's name as "entry". Entries that answer
- * with 404 have nothing to say. `*unreached` names those that did not answer
- * (char *, g_ptr_array_unref). NULL, or the failure to learn the addresses.
+ * Requests the entries' addresses from a controller, then `path` from each
+ * entry. `only` (or NULL) restricts this to the entry of that name; all entries
+ * are queried when it doesn't exist. The objects in the member `list` of their
+ * answers are appended to the array `rows`, with the entry's name added as
+ * "entry". An answer with status 404 counts as an empty list.
+ *
+ * Returns NULL, or the failed request for the addresses. On success `*unreached`
+ * holds a text (char *) with name and cause for each entry that didn't answer or
+ * failed; free with g_ptr_array_unref.
  */
 ClResult *cl_entries_ask (ClSession *session,
                           const char *path,
@@ -19,5 +22,5 @@
                           json_t *rows,
                           GPtrArray **unreached);
 
-/** Adds what an incomplete answer means to `result`. */
+/** Adds a note to `result` for each entry in `unreached`. */
 void cl_entries_note (ClResult *result, const GPtrArray *unreached);
--- a/include/ctl/lexer.h
+++ b/include/ctl/lexer.h
@@ -3,9 +3,10 @@
 /**
  * Splits commands and configuration files into tokens.
  *
- * Words may hold anything but white space, quotes, "#" and the symbols
- * = ! < > { } [ ] ( ) , ; and "~" as their first character, so that names,
- * addresses, globs and request ids need no quotes. "#" starts a comment.
+ * Words may contain any character except white space, control characters,
+ * quotes, "#" and the symbols = ! < > { } [ ] ( ) , ; they must not start with
+ * "~". Names, addresses, globs and request ids therefore need no quotes. "#"
+ * starts a comment that extends to the end of the line.
  */
 
 #include <glib.h>
@@ -15,7 +16,7 @@
 typedef enum
 {
   CL_TOKEN_WORD,
-  CL_TOKEN_STRING, /**< was in quotes; `text` is what they held */
+  CL_TOKEN_STRING, /**< was in quotes; `text` is the content without them, escapes resolved */
   CL_TOKEN_SYMBOL,
   CL_TOKEN_NEWLINE,
   CL_TOKEN_END, /**< the last token of every list */
@@ -29,7 +30,7 @@
   guint column; /**< from 1, in characters */
 } ClToken;
 
-/** How line ends count. */
+/** How line ends are treated. */
 typedef enum
 {
   CL_LEX_COMMANDS, /**< they end a command */
@@ -37,7 +38,8 @@
 } ClLexMode;
 
 /**
- * The tokens of `text`, an array of ClToken; free with g_array_unref. What is
- * no token goes to `findings` with `source`, and the rest is still read.
+ * Splits `text` into an array of ClToken; free with g_array_unref. Characters
+ * that form no token are added to `findings` under the name `source`; lexing
+ * continues after them.
  */
 GArray *cl_lex (const char *text, ClLexMode mode, const char *source, CmFindings *findings);
--- a/include/ctl/query.h
+++ b/include/ctl/query.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * What `show` asks: TABLE [where COND] [columns A, B] [order by COL [desc]] [limit N],
- * the clauses in any order, each at most once.
+ * The query of a `show` command: TABLE [where COND] [columns A, B] [order by COL [desc]] [limit N].
+ * Clauses may come in any order, each at most once.
  */
 
 #include "ctl/condition.h"
@@ -10,19 +10,19 @@
 typedef struct
 {
   const ClTable *table;
-  ClCondition *where; /**< or NULL */
-  char **columns;     /**< or NULL: the table's usual ones */
-  char *order;        /**< column; or NULL */
+  ClCondition *where; /**< NULL: all rows */
+  char **columns;     /**< NULL: all columns of the table */
+  char *order;        /**< name of the column to sort by; NULL: order of the input */
   gboolean descending;
-  guint64 limit; /**< rows at most; G_MAXUINT64: all */
+  guint64 limit; /**< maximum number of rows; G_MAXUINT64: all */
 } ClQuery;
 
-/** Takes the rest of the command; NULL after findings. */
+/** Parses the rest of the command. Returns NULL after findings. */
 ClQuery *cl_query_parse (ClParser *parser);
 void cl_query_free (ClQuery *query);
 
-/** The rows, an array of objects, that the query asks for, in its order, with its columns only. */
+/** Filters, sorts and limits `rows`, an array of objects, and selects the query's columns. */
 json_t *cl_query_run (const ClQuery *query, const json_t *rows);
 
-/** The columns to print; free with g_strfreev. */
+/** The columns to print, of the query or else of the table; free with g_strfreev. */
 char **cl_query_columns (const ClQuery *query);
--- a/include/ctl/session.h
+++ b/include/ctl/session.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * What commands run against: the controllers' addresses, tried in turn, the
- * operator's token, the time limits.
+ * The context that commands run in: the controllers' addresses, tried in order,
+ * the operator's token and the time limits.
  */
 
 #include "ctl/result.h"
@@ -11,23 +11,28 @@
 typedef struct
 {
   ClTransport *transport;
-  char **addresses;      /**< of controllers; any of them will do */
-  const char *token;     /**< or NULL */
-  const char *by;        /**< who makes changes, kept in the history */
-  const char *operation; /**< id of the first change; NULL: a random one */
-  KnlTime timeout;       /**< for a command as a whole */
+  char **addresses;  /**< of controllers, IP:PORT, NULL-terminated; each can serve any request */
+  const char *token; /**< operator token; or NULL */
+  const char *by;    /**< author of the changes, recorded in the history */
+  const char *operation; /**< operation id of the first change, later ones get the suffix ".N";
+                            NULL: random ids */
+  KnlTime timeout;       /**< for a change including its retries */
   KnlTime call_timeout;  /**< for one call */
-  guint changes;         /**< applied or tried so far */
+  guint changes;         /**< number of transactions attempted so far, including dry runs */
 } ClSession;
 
 /**
- * Asks the controllers in turn for `path` until one answers with 200 or refuses.
- * The answer's body, or NULL and `*failure`. `patience` is added to the call's
- * limit, for a path that waits itself.
+ * Requests `path` from the controllers in order until one answers with status
+ * 200 or refuses. Returns the answer's body, or NULL and `*failure`. `patience`
+ * is added to the time limit of a call, for paths where the controller itself
+ * delays its answer.
  */
 json_t *cl_session_get (ClSession *session, const char *path, KnlTime patience, ClResult **failure);
 
-/** Asks all addresses for `path`; the replies as they came, each for cl_reply_free(). */
+/**
+ * Requests `path` from all addresses. `replies` receives one reply per address, in the same order;
+ * free each with cl_reply_free().
+ */
 void cl_session_ask_all (ClSession *session,
                          const char *const *addresses,
                          guint count,
@@ -36,9 +41,9 @@
 
 /**
  * Applies `changes` (an array of ClChange) as one transaction. Retries with the
- * same operation id until an answer says what happened or the time is over.
+ * same operation id until an answer gives the outcome or the time limit is reached.
  */
 ClResult *cl_session_apply (ClSession *session, const GPtrArray *changes, gboolean dry_run);
 
-/** A reply that is no success, as a result. */
+/** Converts an unsuccessful reply to a result. */
 ClResult *cl_result_from_reply (const char *address, const ClReply *reply);
--- a/include/ctl/table.h
+++ b/include/ctl/table.h
@@ -1,36 +1,34 @@
 #pragma once
 
-/** The tables that `show` knows, and their columns. */
+/** The tables of the `show` command, and their columns. */
 
 #include <glib.h>
 #include <jansson.h>
 
-/** Who has a table's rows. */
+/** Where the rows of a table come from. */
 typedef enum
 {
-  CL_TABLE_CONTROLLER, /**< any one controller */
-  CL_TABLE_ENTRIES,    /**< all entries, each its own */
+  CL_TABLE_CONTROLLER, /**< any controller */
+  CL_TABLE_ENTRIES,    /**< all entries, each for its own requests */
 } ClTableSource;
 
 typedef struct
 {
   const char *name;
   ClTableSource source;
-  const char *kind;           /**< schema kind whose fields are the columns; or NULL */
-  const char *const *columns; /**< NULL-terminated; NULL when there is a kind */
+  const char *kind;           /**< schema kind that defines the columns; or NULL */
+  const char *const *columns; /**< NULL-terminated; NULL if `kind` is set */
 } ClTable;
 
-/** All tables, ended by one without a name. */
+/** All tables, terminated by one with a NULL name. */
 const ClTable *cl_tables (void);
 
-/** The table, or NULL. */
 const ClTable *cl_table_find (const char *name);
 
-/** Its columns in their usual order; free with g_strfreev. */
+/** The table's columns in default order; free with g_strfreev. */
 char **cl_table_columns (const ClTable *table);
 
-/** TRUE when the table has that column. */
 gboolean cl_table_has_column (const ClTable *table, const char *column);
 
-/** Gives rows of declared objects the defaults of the fields that were not declared. */
+/** Adds the schema's defaults for fields missing from `rows`, if the table has a kind. */
 void cl_table_fill_defaults (const ClTable *table, json_t *rows);
--- a/include/ctl/transport.h
+++ b/include/ctl/transport.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** How commands reach controllers and entries; tests answer in memory. */
+/** HTTP calls to controllers and entries; replaced in tests by answers from memory. */
 
 #include <jansson.h>
 
@@ -9,8 +9,8 @@
 typedef struct
 {
   const char *address; /**< IP:PORT */
-  const char *path;    /**< with its query */
-  const char *body;    /**< JSON text of a POST; NULL: a GET */
+  const char *path;    /**< including the query string */
+  const char *body;    /**< JSON text to POST; NULL: send a GET */
   const char *token;   /**< operator token; or NULL */
   KnlTime timeout;
 } ClCall;
@@ -18,16 +18,16 @@
 typedef enum
 {
   CL_REPLY_ANSWERED,
-  CL_REPLY_NOT_SENT, /**< no connection came about: the other side saw nothing */
-  CL_REPLY_LOST,     /**< sent or perhaps sent, and no whole answer came */
+  CL_REPLY_NOT_SENT, /**< no connection was established: the server received nothing */
+  CL_REPLY_LOST,     /**< possibly sent, but no complete answer was received */
 } ClReplyState;
 
 typedef struct
 {
   ClReplyState state;
-  int status;    /**< HTTP status when answered */
-  json_t *body;  /**< when answered and JSON; or NULL */
-  char *problem; /**< when not answered: why */
+  int status;    /**< HTTP status if answered */
+  json_t *body;  /**< JSON body if answered; or NULL */
+  char *problem; /**< cause, if not answered; else NULL */
 } ClReply;
 
 typedef struct ClTransport ClTransport;
@@ -35,11 +35,11 @@
 typedef struct
 {
   /**
-   * Makes all calls, several at a time, and waits for all their replies: one for
-   * each call, in the same order, never NULL; free each with cl_reply_free().
+   * Makes all calls, several concurrently, and waits for all replies: one for each
+   * call, in the same order, never NULL; free each with cl_reply_free().
    */
   void (*call) (ClTransport *transport, const ClCall *calls, guint count, ClReply **replies);
-  /** Waits. */
+  /** Blocks for `time`. */
   void (*pause) (ClTransport *transport, KnlTime time);
   KnlTime (*now) (ClTransport *transport);
   void (*destroy) (ClTransport *transport);
@@ -53,5 +53,5 @@
 
 void cl_reply_free (ClReply *reply);
 
-/** A transport over HTTP on an event loop of its own. */
+/** Creates an HTTP transport with its own event loop. */
 ClTransport *cl_http_new (void);
--- a/tests/faults/command_line_test.c
+++ b/tests/faults/command_line_test.c
@@ -1,4 +1,4 @@
-/** The command line against real controllers: races, operations made twice, lost answers. */
+/** The command line against real controllers: races, repeated operations, lost answers. */
 
 #include "../unit/suite.h"
 #include "cluster.h"
@@ -7,7 +7,7 @@
 
 #define ARGUMENTS_LIMIT 12
 
-/* Between the command line and one controller: answers can be lost there. */
+/* A proxy between the command line and one controller, which can drop answers. */
 typedef struct
 {
   HnHarness *harness;
@@ -37,7 +37,7 @@
   CU_ASSERT_EQUAL (hn_ask (harness, &request, NULL), 200);
 }
 
-/* Starts one alderturnctl with JSON output; `flags` ends with NULL. */
+/* Starts alderturnctl with JSON output; `flags` is NULL-terminated, or NULL. */
 static HnProcess *
 control_start (HnHarness *harness,
                const char *controllers,
@@ -55,20 +55,22 @@
   return hn_start (harness, "alderturnctl", "ctl/alderturnctl", arguments);
 }
 
-/* Waits for its end; the exit status, and its JSON object in `*answer`, to be freed. */
+/* Waits until the process ends. Returns the exit status, and its JSON output in `*answer`, to be
+ * freed with json_decref(). */
 static int
 control_await (HnProcess *process, json_t **answer)
 {
   int status = hn_await_exit (process, HN_LIMIT);
 
-  /* It has ended; its status is the test's matter, and not a fault that the harness should find. */
+  /* The process has ended. Its status is for the test to judge, not for the harness. */
   hn_kill (process);
   *answer = json_loads (hn_output (process), 0, NULL);
   CU_ASSERT_PTR_NOT_NULL (*answer);
   return status;
 }
 
-/* Runs one command to its end; the number under `member` of its JSON object, or 0. */
+/* Runs one command and checks its exit status against `wanted`. Returns the number in `member` of
+ * its JSON output, or 0. */
 static json_int_t
 control_number (HnHarness *harness,
                 const char *controllers,
@@ -87,7 +89,7 @@
   return number;
 }
 
-/* How many changes of this operation the history has. */
+/* The number of changes that the history holds for an operation. */
 static size_t
 history_count (HnHarness *harness, const char *controllers, const char *operation)
 {
@@ -118,10 +120,10 @@
 }
 
 /*
- * Symptom: an operator's change is silently overwritten by another's.
- * Sequence: three operators read the same revision and change the same object at once,
- * each at another controller.
- * Cause: a write that does not check what it is based on.
+ * Symptom: an operator's change is silently overwritten by another operator's.
+ * Sequence: three operators read the same revision and change the same object
+ * concurrently, each through a different controller.
+ * Cause: a write that doesn't check the revision that it is based on.
  */
 static void
 test_of_racing_operators_one_wins (void)
@@ -170,9 +172,9 @@
 }
 
 /*
- * Symptom: a script that is run again makes its change a second time, over a later one.
+ * Symptom: a script that is run again applies its change twice, the second time over a later one.
  * Sequence: the same operation id is used twice, with another change in between.
- * Cause: nothing remembers that the operation has been done.
+ * Cause: no record is kept that the operation has been applied.
  */
 static void
 test_one_operation_is_applied_once (void)
@@ -198,10 +200,10 @@
 }
 
 /*
- * Symptom: a change is made twice, or said to be not made though it was.
- * Sequence: the controller applies it; its answer is lost, between the table and the
- * controller, or between the controller and the operator.
- * Cause: what has no answer is taken for not done.
+ * Symptom: a change is applied twice, or reported as not applied although it was.
+ * Sequence: the change is applied, but an answer is lost, either between the store and the
+ * controller or between the controller and the operator.
+ * Cause: a request without an answer is treated as not run.
  */
 static void
 test_lost_answers (void)
--- a/tests/unit/ctl_parse_test.c
+++ b/tests/unit/ctl_parse_test.c
@@ -1,4 +1,5 @@
-/** The command language: what commands and files are read as, and all their findings with places.
+/** The command language: the results of parsing commands and files, and all findings with their
+ * locations.
  */
 
 #include "ctl/command.h"
@@ -25,7 +26,7 @@
 typedef struct
 {
   const char *text;
-  const char *findings; /* as printed; "" when it is good */
+  const char *findings; /* as printed; "" if the text is valid */
 } Row;
 
 static void
@@ -104,9 +105,9 @@
 }
 
 /*
- * Symptom: alderturnctl crashes on a long command of a script.
- * Sequence: a condition of very many parts, side by side or nested.
- * Cause: conditions are walked by recursion, as deep as the input wants.
+ * Symptom: alderturnctl crashes on a long command from a script.
+ * Sequence: a condition with a very large number of operands, joined or nested.
+ * Cause: conditions are parsed recursively, without a limit on the depth.
  */
 static void
 test_endless_conditions (void)
--- a/tests/unit/ctl_session_test.c
+++ b/tests/unit/ctl_session_test.c
@@ -1,4 +1,4 @@
-/** What commands make of controllers' and entries' replies: exit codes, retries, output. */
+/** How commands handle the replies of controllers and entries: exit status, retries, output. */
 
 #include "ctl/command.h"
 #include "ctl/output.h"
@@ -8,23 +8,23 @@
 
 #define CALLS_LIMIT 8
 
-/* One scripted reply: a body when answered. */
+/* One scripted reply. */
 typedef struct
 {
-  int status; /* 0: not sent; -1: lost */
+  int status; /* HTTP status; 0: not sent; -1: lost */
   const char *body;
 } Answer;
 
 typedef struct
 {
   ClTransport transport;
-  const Answer *answers; /* the last one is given again and again */
+  const Answer *answers; /* the last one is repeated */
   guint count;
   guint calls;
   KnlTime now;
-  gboolean uncertain;            /* an answer was lost */
-  char *operations[CALLS_LIMIT]; /* that the calls carried */
-  GString *asked;                /* "ADDRESS PATH" of each call, one a line */
+  gboolean uncertain;            /* an earlier attempt may have taken effect */
+  char *operations[CALLS_LIMIT]; /* operation ids in the calls' bodies */
+  GString *asked;                /* "ADDRESS PATH" of each call, one per line */
 } Fake;
 
 static void
@@ -35,7 +35,8 @@
   ClReply *reply = g_new0 (ClReply, 1);
   json_t *body = call->body != NULL ? json_loads (call->body, 0, NULL) : NULL;
 
-  /* A change cut short by its own limit turns a sure "not run" into an unknown outcome. */
+  /* An attempt cut short by the command's own deadline would turn a certain "not run" into an
+   * unknown outcome. */
   CU_ASSERT_TRUE (body == NULL || fake->uncertain || call->timeout >= KNL_SEC);
   fake->uncertain = fake->uncertain || answer->status < 0 || answer->status == 500;
   if (fake->calls < CALLS_LIMIT)
@@ -85,7 +86,7 @@
   Answer answers[4];
   ClStatus status;
   guint calls;
-  const char *output; /* what the text and the problems, one after the other, hold; or NULL */
+  const char *output; /* expected in standard output followed by standard error; or NULL */
 } Row;
 
 static void
@@ -175,7 +176,7 @@
 #define REFUSED                                                                                    \
   {                                                                                                \
     0, "{}"                                                                                        \
-  } /* a body marks the row as used */
+  } /* the body tells it from an unused element */
 #define NOT_RUN                                                                                    \
   {                                                                                                \
     503, "{\"error\":\"store\",\"outcome\":\"not-run\"}"                                           \
@@ -186,11 +187,11 @@
   }
 
 /*
- * Symptom: an operator is told that a change was not made, makes it again, and it is made twice, or
- * over another operator's change.
- * Sequence: the controller applies the change, its answer is lost; the next controller, or the
- * same one, answers that it did not run this attempt.
- * Cause: the last attempt's outcome is taken for the change's.
+ * Symptom: alderturnctl reports that a change was not made. The operator repeats it, so that it is
+ * applied twice or overwrites another operator's change.
+ * Sequence: the controller applies the change and its answer is lost; the next controller, or the
+ * same one, answers that it did not run the second attempt.
+ * Cause: the outcome of the last attempt is reported as the outcome of the change.
  */
 static void
 test_changes_by_table (void)
