--- a/include/ctl/change.h
+++ b/include/ctl/change.h
@@ -19,9 +19,9 @@
   gboolean replace; /**< `fields` holds the whole object; fields left out get their defaults */
   const CoKind *kind;
   char *name;
-  json_t *fields;   /**< an object, empty for a removal */
-  gboolean expects; /**< refused unless the object's revision is `expect` */
-  guint64 expect;
+  json_t *fields;     /**< an object, empty for a removal */
+  gboolean expects;   /**< the change is conditional on `expect` */
+  guint64 expect;     /**< the change is refused if the object's revision differs */
   char *source;       /**< name of the file or command line, for findings */
   ClPlace place;      /**< of the object */
   GHashTable *places; /**< field -> ClPlace, including fields whose value is invalid */
--- a/include/ctl/parser.h
+++ b/include/ctl/parser.h
@@ -36,7 +36,10 @@
 gboolean cl_parser_sees_symbol (const ClParser *parser, const char *symbol);
 gboolean cl_parser_sees_word (const ClParser *parser, const char *word);
 
-/** Consumes a word or quoted text. Otherwise adds a finding that `what` is missing; NULL then. */
+/**
+ * Consumes and returns a word or quoted text. Otherwise adds a finding, in which `what` describes
+ * the missing element, and returns NULL.
+ */
 const ClToken *cl_parser_expect_text (ClParser *parser, const char *what);
 
 /** Consumes the symbol. Otherwise adds a finding and returns FALSE. */
