--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -235,7 +235,7 @@
                                      .router = options->router,
                                      .engine = sd_engine_defaults };
   Bench bench = { .options = options, .result = result };
-  char *changes = fk_deployment_usual_changes (BENCH_WORKSPACES);
+  char *changes = fk_deployment_default_changes (BENCH_WORKSPACES);
   SdTable *table;
 
   *result = (BenchResult){ 0 };
--- a/bench/scale.c
+++ b/bench/scale.c
@@ -47,7 +47,7 @@
 {
   SdTable *table = fk_store_table (fk_deployment_store (deployment));
 
-  return (Totals){ .bytes = fk_network_sent (fk_deployment_network (deployment)),
+  return (Totals){ .bytes = fk_network_bytes_sent (fk_deployment_network (deployment)),
                    .reads = sd_table_reads (table),
                    .writes = sd_table_writes (table),
                    .processor = processor_seconds () };
@@ -66,7 +66,7 @@
                                 "{\"weight\":%u}}]}",
                                 number, number % 9 + 1);
 
-  fk_deployment_operate (deployment, 0, "POST", "/v1/apply", NULL, body, ignore_answer, NULL);
+  fk_deployment_operator_call (deployment, 0, "POST", "/v1/apply", NULL, body, ignore_answer, NULL);
   g_free (body);
 }
 
@@ -92,7 +92,7 @@
                                   .seed = 1,
                                   .engine = sd_engine_defaults };
   FkDeployment *deployment;
-  char *changes = fk_deployment_usual_changes (WORKSPACES);
+  char *changes = fk_deployment_default_changes (WORKSPACES);
   Totals from;
   Totals to;
   double seconds = scale->seconds;
--- a/common/histogram.c
+++ b/common/histogram.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-#define SUB_BITS       5
-#define SUB_BUCKETS    (1u << SUB_BITS)
-#define FIRST_CAPACITY 4
+#define SUB_BITS         5
+#define SUB_BUCKETS      (1u << SUB_BITS)
+#define INITIAL_CAPACITY 4
 
 /* Values below SUB_BUCKETS have a bucket each; above, each power of two has SUB_BUCKETS buckets. */
 static guint16
@@ -40,7 +40,7 @@
 
 /* Position of the first bucket whose index is `index` or higher; binary search. */
 static guint32
-find_place (const CmHistogram *histogram, guint16 index)
+find_bucket (const CmHistogram *histogram, guint16 index)
 {
   guint32 low = 0;
   guint32 high = histogram->length;
@@ -60,21 +60,21 @@
 static void
 add_to_bucket (CmHistogram *histogram, guint16 index, guint64 count)
 {
-  guint32 place = find_place (histogram, index);
+  guint32 position = find_bucket (histogram, index);
 
-  if (place < histogram->length && histogram->buckets[place].index == index)
+  if (position < histogram->length && histogram->buckets[position].index == index)
     {
-      histogram->buckets[place].count += count;
+      histogram->buckets[position].count += count;
       return;
     }
   if (histogram->length == histogram->capacity)
     {
-      histogram->capacity = MAX (FIRST_CAPACITY, histogram->capacity + histogram->capacity / 2);
+      histogram->capacity = MAX (INITIAL_CAPACITY, histogram->capacity + histogram->capacity / 2);
       histogram->buckets = g_renew (CmBucket, histogram->buckets, histogram->capacity);
     }
-  memmove (&histogram->buckets[place + 1], &histogram->buckets[place],
-           (histogram->length - place) * sizeof (CmBucket));
-  histogram->buckets[place] = (CmBucket){ .index = index, .count = count };
+  memmove (&histogram->buckets[position + 1], &histogram->buckets[position],
+           (histogram->length - position) * sizeof (CmBucket));
+  histogram->buckets[position] = (CmBucket){ .index = index, .count = count };
   histogram->length++;
 }
 
@@ -107,13 +107,13 @@
 guint64
 cm_histogram_quantile (const CmHistogram *histogram, double quantile)
 {
-  double wanted = CLAMP (quantile, 0, 1) * (double)histogram->count;
+  double rank = CLAMP (quantile, 0, 1) * (double)histogram->count;
   guint64 seen = 0;
 
   for (guint32 i = 0; i < histogram->length; i++)
     {
       seen += histogram->buckets[i].count;
-      if ((double)seen >= wanted)
+      if ((double)seen >= rank)
         return MIN (bucket_middle (histogram->buckets[i].index), histogram->max);
     }
   return histogram->max;
@@ -122,10 +122,10 @@
 guint64
 cm_histogram_count_below (const CmHistogram *histogram, guint64 limit)
 {
-  guint32 place = find_place (histogram, bucket_index (limit));
+  guint32 position = find_bucket (histogram, bucket_index (limit));
   guint64 count = 0;
 
-  for (guint32 i = 0; i < place; i++)
+  for (guint32 i = 0; i < position; i++)
     count += histogram->buckets[i].count;
   return count;
 }
--- a/common/log.c
+++ b/common/log.c
@@ -11,13 +11,13 @@
 
 /* Maximum lines per second on standard output, not counting warnings and more severe ones. A
  * request logs one to three lines. */
-#define LINES_PER_SECOND 400
+#define MAX_LINES_PER_SECOND 400
 
-/* Minimum time between two lines of one CmLogLimit, us. */
-#define LIMITED_INTERVAL 1000000
+/* Minimum time between two lines of one CmLogRateLimit, us. */
+#define RATE_LIMIT_INTERVAL 1000000
 
 /* A write of up to PIPE_BUF bytes to a pipe that poll() reports as writable does not block. */
-#define LINE_BYTES 4096
+#define MAX_LINE_BYTES 4096
 
 /*
  * The only process-wide state of the library. Standard error is process-wide too,
@@ -57,10 +57,10 @@
 }
 
 gboolean
-cm_log_limit (CmLogLimit *self, gint64 now)
+cm_log_rate_limit_allows (CmLogRateLimit *self, gint64 now)
 {
   self->count++;
-  if (now - self->logged_at < LIMITED_INTERVAL)
+  if (now - self->logged_at < RATE_LIMIT_INTERVAL)
     return FALSE;
   self->logged_at = now;
   return TRUE;
@@ -112,7 +112,7 @@
 {
   struct pollfd out = { .fd = STDOUT_FILENO, .events = POLLOUT };
 
-  if (length > LINE_BYTES || poll (&out, 1, 0) != 1 || (out.revents & POLLOUT) == 0)
+  if (length > MAX_LINE_BYTES || poll (&out, 1, 0) != 1 || (out.revents & POLLOUT) == 0)
     return FALSE;
   return write (STDOUT_FILENO, text, length) == (ssize_t)length;
 }
@@ -127,7 +127,7 @@
       logger.second = second;
       logger.lines = 0;
     }
-  return severity > CM_LOG_WARNING && ++logger.lines > LINES_PER_SECOND;
+  return severity > CM_LOG_WARNING && ++logger.lines > MAX_LINES_PER_SECOND;
 }
 
 static void
@@ -202,10 +202,10 @@
 }
 
 void
-cm_invariant_failed (const char *name, const char *place)
+cm_invariant_failed (const char *name, const char *location)
 {
   logger.invariant_failures++;
-  cm_log (CM_LOG_CRIT, "invariant-failed", "s", "invariant", name, "s", "place", place);
+  cm_log (CM_LOG_CRIT, "invariant-failed", "s", "invariant", name, "s", "place", location);
   if (g_strcmp0 (g_getenv ("ALDERTURN_INVARIANTS"), "fatal") == 0)
     abort ();
 }
--- a/common/metrics.c
+++ b/common/metrics.c
@@ -70,24 +70,24 @@
 cm_metrics_add (CmMetrics *metrics, const CmMetricDef *def)
 {
   CmMetric *metric;
-  guint place = 0;
+  guint position = 0;
 
-  while (place < metrics->metrics->len)
+  while (position < metrics->metrics->len)
     {
       int order;
 
-      metric = g_ptr_array_index (metrics->metrics, place);
+      metric = g_ptr_array_index (metrics->metrics, position);
       order = strcmp (metric->def->name, def->name);
       if (order == 0)
         return metric;
       if (order > 0)
         break;
-      place++;
+      position++;
     }
   metric = g_new0 (CmMetric, 1);
   metric->def = def;
   metric->series = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, series_free);
-  g_ptr_array_insert (metrics->metrics, (gint)place, metric);
+  g_ptr_array_insert (metrics->metrics, (gint)position, metric);
   return metric;
 }
 
@@ -120,12 +120,12 @@
 }
 
 static CmSeries *
-metric_find (CmMetric *metric, const char *const *values, gboolean make)
+metric_find (CmMetric *metric, const char *const *values, gboolean create)
 {
   char *key = g_strjoin (KEY_SEPARATOR, values[0], values[1], values[2], NULL);
   CmSeries *series = g_hash_table_lookup (metric->series, key);
 
-  if (series != NULL || !make)
+  if (series != NULL || !create)
     {
       g_free (key);
       return series;
--- a/common/retry.c
+++ b/common/retry.c
@@ -1,11 +1,11 @@
 #include "common/retry.h"
 
-#define DOUBLINGS_LIMIT 30
+#define MAX_DOUBLINGS 30
 
 KnlTime
 cm_backoff_next (CmBackoff *backoff, KnlKernel *kernel)
 {
-  guint doublings = MIN (backoff->retries, DOUBLINGS_LIMIT);
+  guint doublings = MIN (backoff->retries, MAX_DOUBLINGS);
   KnlTime delay = backoff->first;
 
   for (guint i = 0; i < doublings && delay < backoff->limit; i++)
--- a/common/settings.c
+++ b/common/settings.c
@@ -171,9 +171,9 @@
 /* The option parser is told to leave unknown flags in argv, so that all of them are reported, not
  * only the first. */
 static void
-collect_unknown_flags (char **argv, char ***rest, CmFindings *findings)
+collect_unknown_flags (char **argv, char ***positional, CmFindings *findings)
 {
-  GPtrArray *words = g_ptr_array_new ();
+  GPtrArray *arguments = g_ptr_array_new ();
   gboolean flags = TRUE;
 
   for (guint i = 1; argv[i] != NULL; i++)
@@ -182,16 +182,16 @@
         flags = FALSE;
       else if (flags && argv[i][0] == '-' && argv[i][1] != '\0')
         cm_findings_add (findings, "flag", 0, 0, argv[i], "there is no such flag");
-      else if (rest != NULL)
-        g_ptr_array_add (words, g_strdup (argv[i]));
+      else if (positional != NULL)
+        g_ptr_array_add (arguments, g_strdup (argv[i]));
       else
         cm_findings_add (findings, "flag", 0, 0, argv[i], "an argument is not expected here");
     }
-  g_ptr_array_add (words, NULL);
-  if (rest != NULL)
-    *rest = (char **)g_ptr_array_free (words, FALSE);
+  g_ptr_array_add (arguments, NULL);
+  if (positional != NULL)
+    *positional = (char **)g_ptr_array_free (arguments, FALSE);
   else
-    g_ptr_array_free (words, TRUE);
+    g_ptr_array_free (arguments, TRUE);
 }
 
 static void
@@ -301,7 +301,7 @@
                    int argc,
                    char **argv,
                    gpointer values,
-                   char ***rest,
+                   char ***positional,
                    CmFindings *findings)
 {
   guint count = 0;
@@ -327,7 +327,7 @@
       for (guint i = 0; i < count; i++)
         resolve_setting (&table[i], &flags[i], values, findings);
       collect_unknown_variables (table, findings);
-      collect_unknown_flags (args, rest, findings);
+      collect_unknown_flags (args, positional, findings);
     }
   else
     printf ("%s %s\n", g_get_prgname () != NULL ? g_get_prgname () : "alderturn",
--- a/common/socket.c
+++ b/common/socket.c
@@ -11,10 +11,10 @@
     struct sockaddr any;
     struct sockaddr_in v4;
     struct sockaddr_in6 v6;
-  } at = { 0 };
-  socklen_t length = sizeof at;
+  } address = { 0 };
+  socklen_t length = sizeof address;
 
-  if (getsockname (socket, &at.any, &length) != 0)
+  if (getsockname (socket, &address.any, &length) != 0)
     return 0;
-  return ntohs (at.any.sa_family == AF_INET ? at.v4.sin_port : at.v6.sin6_port);
+  return ntohs (address.any.sa_family == AF_INET ? address.v4.sin_port : address.v6.sin6_port);
 }
--- a/controller/config_links.c
+++ b/controller/config_links.c
@@ -27,7 +27,7 @@
 }
 
 void
-ct_config_changed (CoConfig *config, guint64 before, gpointer data)
+ct_config_on_changed (CoConfig *config, guint64 before, gpointer data)
 {
   CtController *controller = data;
   Alderturn__ConfigPush *push = co_config_push_since (config, before);
@@ -41,7 +41,7 @@
 }
 
 void
-ct_config_ready (gpointer data)
+ct_config_on_ready (gpointer data)
 {
   CtController *controller = data;
 
@@ -52,25 +52,28 @@
 /* Handles the revision in force at a peer, which heartbeats carry: if it is higher than the one
    here, requests the peer's configuration. */
 void
-ct_config_peer_revision (CtController *controller, CtPeer *peer, guint64 revision)
+ct_config_handle_revision (CtController *controller, CtPeer *peer, guint64 revision)
 {
   Alderturn__ConfigPull pull = ALDERTURN__CONFIG_PULL__INIT;
   guint64 have = *co_config_revision (controller->config);
   KnlTime now = knl_kernel_now (controller->kernel);
 
   peer->revision = revision;
-  co_config_store_heard (controller->store, revision);
-  if (revision <= have || (peer->pulled != 0 && now - peer->pulled < PULL_INTERVAL))
+  co_config_store_note_revision (controller->store, revision);
+  if (revision <= have
+      || (peer->config_requested_at != 0 && now - peer->config_requested_at < PULL_INTERVAL))
     return;
-  peer->pulled = now;
+  peer->config_requested_at = now;
   pull.have_revision = have;
   ct_peer_send (peer, WR_FRAME (CONFIG_PULL, config_pull, &pull));
 }
 
 void
-ct_config_push (CtController *controller, const CtPeer *peer, const Alderturn__ConfigPush *push)
+ct_config_handle_push (CtController *controller,
+                       const CtPeer *peer,
+                       const Alderturn__ConfigPush *push)
 {
-  co_config_store_heard (controller->store, push->revision);
+  co_config_store_note_revision (controller->store, push->revision);
   co_config_apply (controller->config, push);
   if (peer->role == ALDERTURN__ROLE__ROLE_CONTROLLER)
     co_config_store_synced_by_peer (controller->store);
--- a/controller/controller.c
+++ b/controller/controller.c
@@ -5,10 +5,10 @@
 #include "wire/frame.h"
 
 /* Poll interval for the relay's pending requests while draining. */
-#define DRAIN_STEP (50 * KNL_MSEC)
+#define DRAIN_POLL_INTERVAL (50 * KNL_MSEC)
 
 /* Time for the goodbye frames to be sent before links are closed. */
-#define GOODBYE_TIME (100 * KNL_MSEC)
+#define GOODBYE_DELAY (100 * KNL_MSEC)
 
 CtController *
 ct_controller_new (const CtControllerOptions *options)
@@ -20,7 +20,7 @@
   controller->settings = options->settings;
   controller->config = options->config;
   ct_controller_start_parts (controller);
-  co_config_observe (controller->config, ct_config_changed, controller);
+  co_config_observe (controller->config, ct_config_on_changed, controller);
   if (ct_links_listen (controller->links, options->identity->address))
     return controller;
   ct_controller_free (controller);
@@ -62,7 +62,7 @@
 }
 
 static void
-say_goodbye (CtController *controller)
+send_goodbye (CtController *controller)
 {
   Alderturn__Goodbye goodbye = ALDERTURN__GOODBYE__INIT;
 
@@ -70,7 +70,7 @@
   ct_links_broadcast (controller->links, ALDERTURN__ROLE__ROLE_UNSPECIFIED,
                       WR_FRAME (GOODBYE, goodbye, &goodbye));
   controller->drain_timer =
-      knl_timer_start (controller->kernel, GOODBYE_TIME, tell_drained, controller);
+      knl_timer_start (controller->kernel, GOODBYE_DELAY, tell_drained, controller);
 }
 
 /*
@@ -87,9 +87,9 @@
   if (ct_relay_pending (controller->relay) > 0
       && knl_kernel_now (controller->kernel) < controller->drain_deadline)
     controller->drain_timer =
-        knl_timer_start (controller->kernel, DRAIN_STEP, wait_for_relay, controller);
+        knl_timer_start (controller->kernel, DRAIN_POLL_INTERVAL, wait_for_relay, controller);
   else
-    say_goodbye (controller);
+    send_goodbye (controller);
 }
 
 void
@@ -102,7 +102,7 @@
   controller->drained_data = data;
   controller->drain_deadline =
       knl_kernel_now (controller->kernel) + controller->settings->drain_ms * KNL_MSEC;
-  co_members_leave (ct_members_known (controller->members));
+  co_members_leave (ct_members_membership (controller->members));
   co_leases_release (controller->leases, wait_for_relay, controller);
 }
 
--- a/controller/engines.c
+++ b/controller/engines.c
@@ -6,10 +6,10 @@
 #include "coord/shard.h"
 
 /* Fraction of each engine's capacity that is granted evenly to all its entries. */
-#define CREDIT_RESERVE 0.2
+#define CREDIT_RESERVE_FRACTION 0.2
 
 /* Maximum number of pending cancels of leaked requests at one engine. */
-#define CANCELS_LIMIT 8
+#define MAX_CANCELS 8
 
 #define ENGINE_KIND ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENGINE
 
@@ -18,7 +18,7 @@
   CtEnginesOptions options;
   CtOrders orders;
   CoCreditOptions credit;
-  KnlTime *frozen;       /* by shard: until when grants of an earlier ledger may be in force */
+  KnlTime *frozen_until; /* by shard: until when grants of an earlier ledger may be in force */
   GHashTable *engines;   /* name -> Engine, those whose shard is held */
   GHashTable *placement; /* see controller/placement.h */
   CtEnginesCounts counts;
@@ -35,7 +35,7 @@
   guint64 used;
   guint waiting;
   guint64 fence;
-} Shown;
+} LastReport;
 
 typedef struct
 {
@@ -48,7 +48,7 @@
   KnlTimerId timer;
   EpCallId report;
   GPtrArray *cancels; /* Cancel, those pending */
-  Shown shown;
+  LastReport last_report;
 } Engine;
 
 typedef struct
@@ -60,12 +60,12 @@
 static void poll_report (gpointer data);
 
 static void
-shown_clear (Shown *shown)
+last_report_clear (LastReport *last_report)
 {
-  g_free (shown->model);
-  g_free (shown->adapter);
-  g_free (shown->role);
-  *shown = (Shown){ 0 };
+  g_free (last_report->model);
+  g_free (last_report->adapter);
+  g_free (last_report->role);
+  *last_report = (LastReport){ 0 };
 }
 
 static void
@@ -81,7 +81,7 @@
   g_ptr_array_free (engine->cancels, TRUE);
   ct_order_free (engine->order);
   co_credit_free (engine->credit);
-  shown_clear (&engine->shown);
+  last_report_clear (&engine->last_report);
   g_free (engine->name);
   g_free (engine->address);
   g_free (engine);
@@ -114,7 +114,7 @@
   CtEngines *engines = engine->engines;
   GPtrArray *leaks = co_credit_leaks (engine->credit, entry_state, engines);
 
-  for (guint i = 0; i < leaks->len && engine->cancels->len < CANCELS_LIMIT; i++)
+  for (guint i = 0; i < leaks->len && engine->cancels->len < MAX_CANCELS; i++)
     {
       const char *request = g_ptr_array_index (leaks, i);
       Cancel *cancel = g_new0 (Cancel, 1);
@@ -132,10 +132,10 @@
 }
 
 static void
-show_report (Shown *shown, const EpReport *report)
+last_report_set (LastReport *last_report, const EpReport *report)
 {
-  shown_clear (shown);
-  *shown = (Shown){
+  last_report_clear (last_report);
+  *last_report = (LastReport){
     .known = TRUE,
     .model = g_strdup (report->model),
     .adapter = g_strdup (report->adapter),
@@ -158,13 +158,13 @@
   if (!co_lease_valid (engines->options.leases, engine->shard, NULL) || report == NULL)
     return;
   engines->counts.reports++;
-  show_report (&engine->shown, report);
+  last_report_set (&engine->last_report, report);
   co_credit_report (engine->credit, report);
   cancel_leaks (engine);
-  ct_order_step (engine->order, engine->address, report,
-                 g_hash_table_lookup (engines->placement, engine->name));
-  co_members_note_endpoint (ct_members_known (engines->options.members), ENGINE_KIND, engine->name,
-                            report->incarnation, report->leaving);
+  ct_order_handle_report (engine->order, engine->address, report,
+                          g_hash_table_lookup (engines->placement, engine->name));
+  co_members_note_endpoint (ct_members_membership (engines->options.members), ENGINE_KIND,
+                            engine->name, report->incarnation, report->leaving);
 }
 
 static void
@@ -187,7 +187,7 @@
   engine->name = g_strdup (member->name);
   engine->address = g_strdup (member->address);
   engine->shard = shard;
-  engine->credit = co_credit_new (&engines->credit, engines->frozen[shard]);
+  engine->credit = co_credit_new (&engines->credit, engines->frozen_until[shard]);
   engine->order = ct_order_new (&engines->orders, member->name, shard);
   engine->cancels = g_ptr_array_new_with_free_func (g_free);
   g_hash_table_insert (engines->engines, engine->name, engine);
@@ -201,10 +201,10 @@
 }
 
 static void
-freeze (CtEngines *engines, guint shard)
+freeze_shard (CtEngines *engines, guint shard)
 {
-  engines->frozen[shard] =
-      knl_kernel_now (engines->options.kernel) + co_credit_grants_last (&engines->credit);
+  engines->frozen_until[shard] =
+      knl_kernel_now (engines->options.kernel) + co_credit_grant_lifetime (&engines->credit);
 }
 
 /* Drops engines that left the view, have another address, or whose lease is no longer held. */
@@ -225,7 +225,7 @@
           && co_lease_valid (engines->options.leases, engine->shard, NULL))
         continue;
       /* The engine may return while grants of this ledger are still in force. */
-      freeze (engines, engine->shard);
+      freeze_shard (engines, engine->shard);
       g_hash_table_iter_remove (&iter);
     }
 }
@@ -270,7 +270,7 @@
     return;
   /* Fencing number 1: no earlier holder can have granted anything. */
   if (fence > 1)
-    freeze (engines, shard);
+    freeze_shard (engines, shard);
   ct_engines_refresh (engines);
 }
 
@@ -283,7 +283,7 @@
   engines->credit = (CoCreditOptions){
     .kernel = options->kernel,
     .ttl = options->credit_ttl,
-    .reserve = CREDIT_RESERVE,
+    .reserve = CREDIT_RESERVE_FRACTION,
   };
   engines->orders = (CtOrders){
     .kernel = options->kernel,
@@ -291,7 +291,7 @@
     .leases = options->leases,
     .load_interval = options->load_interval,
   };
-  engines->frozen = g_new0 (KnlTime, co_leases_count (options->leases));
+  engines->frozen_until = g_new0 (KnlTime, co_leases_count (options->leases));
   engines->engines = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, engine_free);
   engines->placement = g_hash_table_new (g_str_hash, g_str_equal);
   co_leases_observe (options->leases, on_lease, engines);
@@ -305,7 +305,7 @@
     return;
   g_hash_table_destroy (engines->engines);
   g_hash_table_destroy (engines->placement);
-  g_free (engines->frozen);
+  g_free (engines->frozen_until);
   g_free (engines);
 }
 
@@ -321,17 +321,19 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const Engine *engine = value;
-      gboolean named = FALSE;
+      gboolean requested = FALSE;
 
-      for (size_t i = 0; i < request->n_wants && !named; i++)
-        named = strcmp (request->wants[i]->endpoint, engine->name) == 0;
-      if (!named)
-        co_credit_unclaimed (engine->credit, request->entry, request->incarnation);
+      for (size_t i = 0; i < request->n_wants && !requested; i++)
+        requested = strcmp (request->wants[i]->endpoint, engine->name) == 0;
+      if (!requested)
+        co_credit_note_unclaimed (engine->credit, request->entry, request->incarnation);
     }
 }
 
 void
-ct_engines_credit (CtEngines *engines, const Alderturn__CreditRequest *request, GPtrArray *grants)
+ct_engines_grant_credit (CtEngines *engines,
+                         const Alderturn__CreditRequest *request,
+                         GPtrArray *grants)
 {
   for (size_t i = 0; i < request->n_wants; i++)
     {
@@ -370,16 +372,19 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const Engine *engine = value;
-      const Shown *shown = &engine->shown;
-      double load = shown->capacity > 0 ? (double)shown->used / (double)shown->capacity : 0;
+      const LastReport *last_report = &engine->last_report;
+      double load =
+          last_report->capacity > 0 ? (double)last_report->used / (double)last_report->capacity : 0;
 
-      if (shown->known)
+      if (last_report->known)
         json_array_append_new (
-            rows, json_pack ("{s:s, s:s?, s:s?, s:s?, s:I, s:I, s:f, s:i, s:I, s:s}", "name",
-                             engine->name, "model", shown->model, "adapter", shown->adapter, "role",
-                             shown->role, "capacity", (json_int_t)shown->capacity, "used",
-                             (json_int_t)shown->used, "load", load, "waiting", (int)shown->waiting,
-                             "fence", (json_int_t)shown->fence, "holder", engines->options.self));
+            rows,
+            json_pack ("{s:s, s:s?, s:s?, s:s?, s:I, s:I, s:f, s:i, s:I, s:s}", "name",
+                       engine->name, "model", last_report->model, "adapter", last_report->adapter,
+                       "role", last_report->role, "capacity", (json_int_t)last_report->capacity,
+                       "used", (json_int_t)last_report->used, "load", load, "waiting",
+                       (int)last_report->waiting, "fence", (json_int_t)last_report->fence, "holder",
+                       engines->options.self));
     }
   return rows;
 }
--- a/controller/gather.c
+++ b/controller/gather.c
@@ -5,13 +5,13 @@
 #include "wire/frame.h"
 
 /* The rows of a controller that hasn't answered in this time are missing in the result. */
-#define ANSWER_LIMIT (700 * KNL_MSEC)
+#define ANSWER_TIMEOUT (700 * KNL_MSEC)
 
 struct CtGather
 {
   CtGatherOptions options;
   guint64 last_call;
-  GHashTable *questions; /* call -> `Question` */
+  GHashTable *pending_queries; /* call -> `PendingQuery` */
 };
 
 typedef struct
@@ -20,23 +20,23 @@
   CtGather *gather;
   char *table;
   json_t *rows;
-  GHashTable *asked; /* names of the controllers that the query was sent to */
-  guint missing;     /* number of answers still expected */
+  GHashTable *queried; /* names of the controllers that the query was sent to */
+  guint missing;       /* number of answers still expected */
   KnlTimerId timer;
   CtGatherFunc done;
   gpointer data;
-} Question;
+} PendingQuery;
 
 static void
-question_free (gpointer data)
+pending_query_free (gpointer data)
 {
-  Question *question = data;
+  PendingQuery *pending = data;
 
-  knl_timer_stop (question->gather->options.kernel, &question->timer);
-  json_decref (question->rows);
-  g_hash_table_unref (question->asked);
-  g_free (question->table);
-  g_free (question);
+  knl_timer_stop (pending->gather->options.kernel, &pending->timer);
+  json_decref (pending->rows);
+  g_hash_table_unref (pending->queried);
+  g_free (pending->table);
+  g_free (pending);
 }
 
 CtGather *
@@ -45,7 +45,8 @@
   CtGather *gather = g_new0 (CtGather, 1);
 
   gather->options = *options;
-  gather->questions = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, question_free);
+  gather->pending_queries =
+      g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, pending_query_free);
   return gather;
 }
 
@@ -54,67 +55,67 @@
 {
   if (gather == NULL)
     return;
-  g_hash_table_destroy (gather->questions);
+  g_hash_table_destroy (gather->pending_queries);
   g_free (gather);
 }
 
 static void
 question_end (gpointer data)
 {
-  Question *question = data;
+  PendingQuery *pending = data;
 
-  knl_timer_stop (question->gather->options.kernel, &question->timer);
-  g_hash_table_steal (question->gather->questions, &question->call);
-  question->done (question->rows, question->data);
-  question_free (question);
+  knl_timer_stop (pending->gather->options.kernel, &pending->timer);
+  g_hash_table_steal (pending->gather->pending_queries, &pending->call);
+  pending->done (pending->rows, pending->data);
+  pending_query_free (pending);
 }
 
 static void
-ask_peer (CtPeer *peer, gpointer data)
+query_peer (CtPeer *peer, gpointer data)
 {
-  Question *question = data;
+  PendingQuery *pending = data;
   Alderturn__Query query = ALDERTURN__QUERY__INIT;
 
-  if (!g_hash_table_add (question->asked, g_strdup (peer->name)))
+  if (!g_hash_table_add (pending->queried, g_strdup (peer->name)))
     return;
-  query.call = question->call;
-  query.table = question->table;
+  query.call = pending->call;
+  query.table = pending->table;
   ct_peer_send (peer, WR_FRAME (QUERY, query, &query));
 }
 
 void
-ct_gather_ask (CtGather *gather, const char *table, CtGatherFunc done, gpointer data)
+ct_gather_start (CtGather *gather, const char *table, CtGatherFunc done, gpointer data)
 {
   const CtGatherOptions *options = &gather->options;
-  Question *question = g_new0 (Question, 1);
-
-  question->call = ++gather->last_call;
-  question->gather = gather;
-  question->table = g_strdup (table);
-  question->rows = options->own_rows (table, options->data);
-  question->asked = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  question->done = done;
-  question->data = data;
-  question->missing = options->reach (options->data);
-  g_hash_table_insert (gather->questions, &question->call, question);
-  ct_links_foreach (options->links, ALDERTURN__ROLE__ROLE_CONTROLLER, ask_peer, question);
-  question->timer = knl_timer_start (options->kernel, question->missing > 0 ? ANSWER_LIMIT : 0,
-                                     question_end, question);
+  PendingQuery *pending = g_new0 (PendingQuery, 1);
+
+  pending->call = ++gather->last_call;
+  pending->gather = gather;
+  pending->table = g_strdup (table);
+  pending->rows = options->own_rows (table, options->data);
+  pending->queried = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  pending->done = done;
+  pending->data = data;
+  pending->missing = options->connect_all (options->data);
+  g_hash_table_insert (gather->pending_queries, &pending->call, pending);
+  ct_links_foreach (options->links, ALDERTURN__ROLE__ROLE_CONTROLLER, query_peer, pending);
+  pending->timer = knl_timer_start (options->kernel, pending->missing > 0 ? ANSWER_TIMEOUT : 0,
+                                    question_end, pending);
 }
 
 void
-ct_gather_opened (CtGather *gather, CtPeer *peer)
+ct_gather_on_peer_opened (CtGather *gather, CtPeer *peer)
 {
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, gather->questions);
+  g_hash_table_iter_init (&iter, gather->pending_queries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    ask_peer (peer, value);
+    query_peer (peer, value);
 }
 
 void
-ct_gather_query (CtGather *gather, CtPeer *peer, const Alderturn__Query *query)
+ct_gather_handle_query (CtGather *gather, CtPeer *peer, const Alderturn__Query *query)
 {
   json_t *rows = gather->options.own_rows (query->table, gather->options.data);
   Alderturn__QueryReply reply = ALDERTURN__QUERY_REPLY__INIT;
@@ -127,18 +128,18 @@
 }
 
 void
-ct_gather_reply (CtGather *gather, const Alderturn__QueryReply *reply)
+ct_gather_handle_reply (CtGather *gather, const Alderturn__QueryReply *reply)
 {
-  Question *question = g_hash_table_lookup (gather->questions, &reply->call);
+  PendingQuery *pending = g_hash_table_lookup (gather->pending_queries, &reply->call);
   json_t *rows;
 
-  if (question == NULL)
+  if (pending == NULL)
     return;
   rows = json_loads (reply->rows, 0, NULL);
   if (json_is_array (rows))
-    json_array_extend (question->rows, rows);
+    json_array_extend (pending->rows, rows);
   json_decref (rows);
   /* A linked controller that isn't in the membership yet answers too, though it isn't counted. */
-  if (question->missing > 0 && --question->missing == 0)
-    question_end (question);
+  if (pending->missing > 0 && --pending->missing == 0)
+    question_end (pending);
 }
--- a/controller/gauges.c
+++ b/controller/gauges.c
@@ -122,7 +122,7 @@
 };
 
 void
-ct_controller_gauge (CtController *controller)
+ct_controller_update_metrics (CtController *controller)
 {
   for (guint i = 0; i < G_N_ELEMENTS (gauges); i++)
     {
--- a/controller/http.c
+++ b/controller/http.c
@@ -9,18 +9,18 @@
 #include "common/settings.h"
 #include "controller/operators.h"
 
-#define HEADER_BYTES_LIMIT 16384
-#define IDLE_SECONDS       60
+#define MAX_HEADER_BYTES 16384
+#define IDLE_TIMEOUT_S   60
 
 /* Maximum number of pending requests; further ones are answered with 503. */
-#define WAITING_LIMIT 256
+#define MAX_PENDING 256
 
 typedef struct
 {
   KnlTask base;
   struct evhttp *server;
   guint64 last_number;
-  GHashTable *waiting; /* number -> `Waiting` */
+  GHashTable *pending; /* number -> `PendingRequest` */
 } Http;
 
 typedef struct
@@ -29,7 +29,7 @@
   Http *http;
   struct evhttp_request *request;
   struct evhttp_connection *connection;
-} Waiting;
+} PendingRequest;
 
 /*
  * The operator has disconnected. evhttp frees the request, so the pending answer
@@ -38,9 +38,9 @@
 static void
 on_connection_closed (struct evhttp_connection *connection, void *data)
 {
-  Waiting *waiting = data;
+  PendingRequest *pending = data;
 
-  g_hash_table_remove (waiting->http->waiting, &waiting->number);
+  g_hash_table_remove (pending->http->pending, &pending->number);
 }
 
 static const char *
@@ -95,28 +95,28 @@
 on_request (struct evhttp_request *request, void *data)
 {
   Http *http = data;
-  Waiting *waiting;
+  PendingRequest *pending;
   KnlMessage *message;
 
-  if (g_hash_table_size (http->waiting) >= WAITING_LIMIT)
+  if (g_hash_table_size (http->pending) >= MAX_PENDING)
     {
       evhttp_send_error (request, HTTP_SERVUNAVAIL, "too many requests wait");
       return;
     }
-  waiting = g_new0 (Waiting, 1);
-  waiting->number = ++http->last_number;
-  waiting->http = http;
-  waiting->request = request;
-  waiting->connection = evhttp_request_get_connection (request);
-  evhttp_connection_set_closecb (waiting->connection, on_connection_closed, waiting);
-  g_hash_table_insert (http->waiting, &waiting->number, waiting);
-  message = call_from_request (request, waiting->number);
+  pending = g_new0 (PendingRequest, 1);
+  pending->number = ++http->last_number;
+  pending->http = http;
+  pending->request = request;
+  pending->connection = evhttp_request_get_connection (request);
+  evhttp_connection_set_closecb (pending->connection, on_connection_closed, pending);
+  g_hash_table_insert (http->pending, &pending->number, pending);
+  message = call_from_request (request, pending->number);
   message->sender = http->base.id;
   if (knl_post (http->base.kernel, knl_registry_find (http->base.kernel, CT_OPERATORS_SERVICE),
                 message))
     return;
-  evhttp_connection_set_closecb (waiting->connection, NULL, NULL);
-  g_hash_table_remove (http->waiting, &waiting->number);
+  evhttp_connection_set_closecb (pending->connection, NULL, NULL);
+  g_hash_table_remove (http->pending, &pending->number);
   evhttp_send_error (request, HTTP_SERVUNAVAIL, "ending");
 }
 
@@ -125,14 +125,14 @@
 {
   Http *http = (Http *)task;
   const CtOperatorAnswer *answer = (const CtOperatorAnswer *)message;
-  const Waiting *waiting = g_hash_table_lookup (http->waiting, &answer->number);
+  const PendingRequest *pending = g_hash_table_lookup (http->pending, &answer->number);
   struct evhttp_request *request;
 
-  if (waiting == NULL)
+  if (pending == NULL)
     return;
-  request = waiting->request;
-  evhttp_connection_set_closecb (waiting->connection, NULL, NULL);
-  g_hash_table_remove (http->waiting, &answer->number);
+  request = pending->request;
+  evhttp_connection_set_closecb (pending->connection, NULL, NULL);
+  g_hash_table_remove (http->pending, &answer->number);
   evhttp_add_header (evhttp_request_get_output_headers (request), "Content-Type",
                      answer->content_type);
   evbuffer_add (evhttp_request_get_output_buffer (request), answer->body, strlen (answer->body));
@@ -146,11 +146,11 @@
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, http->waiting);
+  g_hash_table_iter_init (&iter, http->pending);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    evhttp_connection_set_closecb (((Waiting *)value)->connection, NULL, NULL);
+    evhttp_connection_set_closecb (((PendingRequest *)value)->connection, NULL, NULL);
   evhttp_free (http->server);
-  g_hash_table_destroy (http->waiting);
+  g_hash_table_destroy (http->pending);
   g_free (http);
 }
 
@@ -176,13 +176,13 @@
     }
   g_free (host);
   evhttp_set_max_body_size (server, (ev_ssize_t)body_bytes);
-  evhttp_set_max_headers_size (server, HEADER_BYTES_LIMIT);
-  evhttp_set_timeout (server, IDLE_SECONDS);
+  evhttp_set_max_headers_size (server, MAX_HEADER_BYTES);
+  evhttp_set_timeout (server, IDLE_TIMEOUT_S);
   evhttp_set_allowed_methods (server, EVHTTP_REQ_GET | EVHTTP_REQ_POST);
   http = g_new0 (Http, 1);
   http->base.klass = &http_class;
   http->server = server;
-  http->waiting = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
+  http->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   evhttp_set_gencb (server, on_request, http);
   return knl_task_start (kernel, &http->base, "operators-http");
 }
--- a/controller/links.c
+++ b/controller/links.c
@@ -5,7 +5,7 @@
 #include "common/log.h"
 
 /* A link that isn't kept is closed after this time without use. */
-#define IDLE_LIMIT (5 * KNL_SEC)
+#define IDLE_TIMEOUT (5 * KNL_SEC)
 
 struct CtLinks
 {
@@ -33,7 +33,7 @@
 }
 
 static void
-peer_gone (CtPeer *peer)
+peer_closed (CtPeer *peer)
 {
   CtLinks *links = peer->links;
 
@@ -43,7 +43,7 @@
 }
 
 static CtPeer *
-find_made_by (CtLinks *links, Alderturn__Role role, const char *name, gboolean dialed)
+find_by_direction (CtLinks *links, Alderturn__Role role, const char *name, gboolean dialed)
 {
   GHashTableIter iter;
   gpointer value;
@@ -69,13 +69,13 @@
 static void
 close_older_link (CtPeer *peer)
 {
-  CtPeer *older = find_made_by (peer->links, peer->role, peer->name, peer->dialed);
+  CtPeer *older = find_by_direction (peer->links, peer->role, peer->name, peer->dialed);
 
   if (older == NULL || older == peer)
     return;
   cm_log (CM_LOG_WARNING, "link-closed", "s", "peer", older->name, "s", "reason", "replaced");
   wr_link_close (older->link);
-  peer_gone (older);
+  peer_closed (older);
 }
 
 static void
@@ -92,7 +92,7 @@
   peer->address = g_strdup (hello->address);
   peer->caller_address = g_strdup (hello->caller_address);
   peer->id = ++links->last_id;
-  peer->used = knl_kernel_now (links->kernel);
+  peer->last_sent_at = knl_kernel_now (links->kernel);
   close_older_link (peer);
   g_hash_table_insert (links->peers, &peer->id, peer);
   cm_log (CM_LOG_INFO, "link-open", "s", "peer", peer->name, "s", "role",
@@ -128,7 +128,7 @@
       peer_free (peer);
       return;
     }
-  peer_gone (peer);
+  peer_closed (peer);
 }
 
 static const WrLinkEvents link_events = {
@@ -153,7 +153,7 @@
 {
   return peer->role == ALDERTURN__ROLE__ROLE_CONTROLLER && peer->dialed
          && !g_hash_table_contains (links->kept, peer->name)
-         && knl_kernel_now (links->kernel) - peer->used >= IDLE_LIMIT;
+         && knl_kernel_now (links->kernel) - peer->last_sent_at >= IDLE_TIMEOUT;
 }
 
 static void
@@ -164,7 +164,7 @@
   gpointer value;
   GPtrArray *idle = g_ptr_array_new ();
 
-  links->idle_timer = knl_timer_start (links->kernel, IDLE_LIMIT, close_idle, links);
+  links->idle_timer = knl_timer_start (links->kernel, IDLE_TIMEOUT, close_idle, links);
   g_hash_table_iter_init (&iter, links->peers);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -176,7 +176,7 @@
       CtPeer *peer = g_ptr_array_index (idle, i);
 
       wr_link_close (peer->link);
-      peer_gone (peer);
+      peer_closed (peer);
     }
   g_ptr_array_free (idle, TRUE);
 }
@@ -198,7 +198,7 @@
   links->peers = g_hash_table_new (g_int64_hash, g_int64_equal);
   links->dialing = g_hash_table_new (g_str_hash, g_str_equal);
   links->kept = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  links->idle_timer = knl_timer_start (kernel, IDLE_LIMIT, close_idle, links);
+  links->idle_timer = knl_timer_start (kernel, IDLE_TIMEOUT, close_idle, links);
   return links;
 }
 
@@ -269,15 +269,15 @@
 CtPeer *
 ct_links_find (CtLinks *links, Alderturn__Role role, const char *name)
 {
-  CtPeer *peer = find_made_by (links, role, name, TRUE);
+  CtPeer *peer = find_by_direction (links, role, name, TRUE);
 
-  return peer != NULL ? peer : find_made_by (links, role, name, FALSE);
+  return peer != NULL ? peer : find_by_direction (links, role, name, FALSE);
 }
 
 void
 ct_peer_send (CtPeer *peer, const Alderturn__Frame *frame)
 {
-  peer->used = knl_kernel_now (peer->links->kernel);
+  peer->last_sent_at = knl_kernel_now (peer->links->kernel);
   wr_link_send (peer->link, frame);
 }
 
--- a/controller/members.c
+++ b/controller/members.c
@@ -3,21 +3,21 @@
 #include <string.h>
 
 /* Changes within this time are sent to the entries as one update. */
-#define COALESCE (20 * KNL_MSEC)
+#define COALESCE_DELAY (20 * KNL_MSEC)
 
 /* Maximum rate of reads of the instance list, over all controllers together. */
-#define READS_PER_SECOND 20
+#define MAX_READS_PER_SECOND 20
 
 struct CtMembers
 {
   CtMembersOptions options;
-  CoMembers *known;
+  CoMembers *membership;
   GPtrArray *view;
   TbCallId call;
   KnlTimerId poll;
   KnlTimerId refresh;
-  gboolean listed;      /* the instance list has been read */
-  gboolean told_listed; /* `changed` has been called since then */
+  gboolean listed;          /* the instance list has been read */
+  gboolean notified_listed; /* `changed` has been called since then */
 };
 
 static void poll_list (gpointer data);
@@ -86,14 +86,14 @@
   gboolean same;
 
   members->view = g_ptr_array_new_with_free_func (member_free);
-  co_members_foreach (members->known, ALDERTURN__MEMBER_KIND__MEMBER_KIND_UNSPECIFIED, add_to_view,
-                      members);
+  co_members_foreach (members->membership, ALDERTURN__MEMBER_KIND__MEMBER_KIND_UNSPECIFIED,
+                      add_to_view, members);
   g_ptr_array_sort (members->view, compare_members);
   same = view_equal (before, members->view);
   g_ptr_array_free (before, TRUE);
-  if (!same || members->listed != members->told_listed)
+  if (!same || members->listed != members->notified_listed)
     members->options.changed (members, members->options.data);
-  members->told_listed = members->listed;
+  members->notified_listed = members->listed;
 }
 
 static void
@@ -106,12 +106,13 @@
 }
 
 static void
-on_member (const Alderturn__Member *member, gpointer data)
+on_member_changed (const Alderturn__Member *member, gpointer data)
 {
   CtMembers *members = data;
 
   if (members->refresh == 0)
-    members->refresh = knl_timer_start (members->options.kernel, COALESCE, on_refresh_due, members);
+    members->refresh =
+        knl_timer_start (members->options.kernel, COALESCE_DELAY, on_refresh_due, members);
 }
 
 static void
@@ -131,18 +132,18 @@
 {
   CtMembers *members = data;
   guint controllers =
-      co_members_count (members->known, ALDERTURN__MEMBER_KIND__MEMBER_KIND_CONTROLLER);
+      co_members_count (members->membership, ALDERTURN__MEMBER_KIND__MEMBER_KIND_CONTROLLER);
 
   members->call = 0;
   members->poll = knl_timer_start (
       members->options.kernel,
-      MAX (members->options.poll_interval, controllers * (KNL_SEC / READS_PER_SECOND)), poll_list,
-      members);
+      MAX (members->options.poll_interval, controllers * (KNL_SEC / MAX_READS_PER_SECOND)),
+      poll_list, members);
   if (status != TB_OK)
     return;
   members->listed = TRUE;
-  co_members_seed (members->known, list, n_list);
-  on_member (NULL, members);
+  co_members_seed (members->membership, list, n_list);
+  on_member_changed (NULL, members);
 }
 
 static void
@@ -171,10 +172,10 @@
   self.region = (char *)identity->region;
   self.incarnation = identity->incarnation;
   self.state = ALDERTURN__MEMBER_STATE__MEMBER_STATE_LIVE;
-  members->known = co_members_new (options->kernel, &self, &times, send_frame, members);
-  co_members_observe (members->known, on_member, members);
+  members->membership = co_members_new (options->kernel, &self, &times, send_frame, members);
+  co_members_observe (members->membership, on_member_changed, members);
   poll_list (members);
-  on_member (NULL, members);
+  on_member_changed (NULL, members);
   return members;
 }
 
@@ -186,7 +187,7 @@
   tb_call_cancel (members->options.platform, &members->call);
   knl_timer_stop (members->options.kernel, &members->poll);
   knl_timer_stop (members->options.kernel, &members->refresh);
-  co_members_free (members->known);
+  co_members_free (members->membership);
   g_ptr_array_free (members->view, TRUE);
   g_free (members);
 }
@@ -198,13 +199,13 @@
 }
 
 CoMembers *
-ct_members_known (CtMembers *members)
+ct_members_membership (CtMembers *members)
 {
-  return members->known;
+  return members->membership;
 }
 
 void
-ct_members_entry (CtMembers *members, const CtPeer *peer)
+ct_members_update_entry (CtMembers *members, const CtPeer *peer)
 {
   Alderturn__Member entry = ALDERTURN__MEMBER__INIT;
 
@@ -214,13 +215,13 @@
   entry.zone = peer->zone;
   entry.region = peer->region;
   entry.incarnation = peer->incarnation;
-  co_members_vouch (members->known, &entry, peer->draining);
+  co_members_vouch (members->membership, &entry, peer->draining);
 }
 
 void
-ct_members_entry_gone (CtMembers *members, const CtPeer *peer)
+ct_members_remove_entry (CtMembers *members, const CtPeer *peer)
 {
-  co_members_unvouch (members->known, peer->name);
+  co_members_unvouch (members->membership, peer->name);
 }
 
 const GPtrArray *
@@ -246,12 +247,12 @@
 ct_members_entry_state (const CtMembers *members, const char *name, guint64 incarnation)
 {
   const Alderturn__Member *member =
-      co_members_find (members->known, ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENTRY, name);
+      co_members_find (members->membership, ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENTRY, name);
 
   if (member == NULL)
-    return CO_ENTRY_HERE;
+    return CO_ENTRY_PRESENT;
   if (member->incarnation > incarnation)
     return CO_ENTRY_REPLACED;
   return member->state == ALDERTURN__MEMBER_STATE__MEMBER_STATE_DEAD ? CO_ENTRY_MISSING
-                                                                     : CO_ENTRY_HERE;
+                                                                     : CO_ENTRY_PRESENT;
 }
--- a/controller/metered.c
+++ b/controller/metered.c
@@ -18,11 +18,11 @@
 typedef struct
 {
   TbTable base;
-  TbTable *beneath;
+  TbTable *inner;
   KnlKernel *kernel;
   CmMetric *calls;
   CmMetric *times;
-  GHashTable *open; /* id -> Call */
+  GHashTable *pending; /* id -> Call */
 } Metered;
 
 typedef struct
@@ -71,12 +71,12 @@
 call_opened (Call *call, TbCallId id)
 {
   call->id = id;
-  g_hash_table_insert (call->metered->open, &call->id, call);
+  g_hash_table_insert (call->metered->pending, &call->id, call);
   return id;
 }
 
 static void
-count (Call *call, TbStatus status)
+record_call (Call *call, TbStatus status)
 {
   Metered *metered = call->metered;
   const char *name = operation_names[call->operation];
@@ -84,7 +84,7 @@
   cm_series_add (cm_metric_series (metered->calls, name, tb_status_name (status), NULL), 1);
   cm_series_record (cm_metric_series (metered->times, name, NULL, NULL),
                     (guint64)(knl_kernel_now (metered->kernel) - call->started));
-  g_hash_table_steal (metered->open, &call->id);
+  g_hash_table_steal (metered->pending, &call->id);
 }
 
 static void
@@ -92,7 +92,7 @@
 {
   Call *call = data;
 
-  count (call, status);
+  record_call (call, status);
   call->done.transact (status, version, call->data);
   g_free (call);
 }
@@ -102,7 +102,7 @@
 {
   Call *call = data;
 
-  count (call, status);
+  record_call (call, status);
   call->done.rows (status, rows, n_rows, more, call->data);
   g_free (call);
 }
@@ -112,7 +112,7 @@
 {
   Call *call = data;
 
-  count (call, status);
+  record_call (call, status);
   call->done.instances (status, members, n_members, call->data);
   g_free (call);
 }
@@ -126,7 +126,7 @@
   Call *call = call_new (platform, OP_TRANSACT, data);
 
   call->done.transact = done;
-  return call_opened (call, tb_transact (call->metered->beneath, transaction, on_transacted, call));
+  return call_opened (call, tb_transact (call->metered->inner, transaction, on_transacted, call));
 }
 
 static TbCallId
@@ -139,11 +139,10 @@
               gpointer data)
 {
   Call *call = call_new (platform, prefix ? OP_SCAN : OP_READ, data);
-  TbTable *beneath = call->metered->beneath;
+  TbTable *inner = call->metered->inner;
 
   call->done.rows = done;
-  return call_opened (call,
-                      beneath->klass->read (beneath, key, prefix, after, limit, on_rows, call));
+  return call_opened (call, inner->klass->read (inner, key, prefix, after, limit, on_rows, call));
 }
 
 static TbCallId
@@ -152,17 +151,17 @@
   Call *call = call_new (platform, OP_INSTANCES, data);
 
   call->done.instances = done;
-  return call_opened (call, tb_instances (call->metered->beneath, on_instances, call));
+  return call_opened (call, tb_instances (call->metered->inner, on_instances, call));
 }
 
 static void
 metered_cancel (TbTable *platform, TbCallId id)
 {
   Metered *metered = (Metered *)platform;
-  TbCallId beneath = id;
+  TbCallId inner = id;
 
-  tb_call_cancel (metered->beneath, &beneath);
-  g_hash_table_remove (metered->open, &id);
+  tb_call_cancel (metered->inner, &inner);
+  g_hash_table_remove (metered->pending, &id);
 }
 
 static void
@@ -172,14 +171,14 @@
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, metered->open);
+  g_hash_table_iter_init (&iter, metered->pending);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      TbCallId beneath = ((Call *)value)->id;
+      TbCallId inner = ((Call *)value)->id;
 
-      tb_call_cancel (metered->beneath, &beneath);
+      tb_call_cancel (metered->inner, &inner);
     }
-  g_hash_table_destroy (metered->open);
+  g_hash_table_destroy (metered->pending);
   g_free (metered);
 }
 
@@ -192,15 +191,15 @@
 };
 
 TbTable *
-ct_metered_platform_new (TbTable *beneath, KnlKernel *kernel, CmMetrics *metrics)
+ct_metered_platform_new (TbTable *inner, KnlKernel *kernel, CmMetrics *metrics)
 {
   Metered *metered = g_new0 (Metered, 1);
 
   metered->base.klass = &metered_class;
-  metered->beneath = beneath;
+  metered->inner = inner;
   metered->kernel = kernel;
   metered->calls = cm_metrics_add (metrics, &calls_def);
   metered->times = cm_metrics_add (metrics, &times_def);
-  metered->open = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
+  metered->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   return &metered->base;
 }
--- a/controller/operators.c
+++ b/controller/operators.c
@@ -6,11 +6,11 @@
 #include "controller/state.h"
 #include "coord/config_rows.h"
 
-#define WAIT_LIMIT_MS     600000
-#define WAIT_STEP         (100 * KNL_MSEC)
-#define HISTORY_SHOWN     200
-#define OPERATION_LIMIT   128
-#define JSON_CONTENT_TYPE "application/json"
+#define MAX_WAIT_MS         600000
+#define WAIT_POLL_INTERVAL  (100 * KNL_MSEC)
+#define MAX_HISTORY_ROWS    200
+#define MAX_OPERATION_BYTES 128
+#define JSON_CONTENT_TYPE   "application/json"
 
 typedef struct
 {
@@ -26,7 +26,7 @@
   KnlTaskId sender;
   guint64 number;
   TbCallId read;
-  KnlTimerId step;
+  KnlTimerId wait_timer;
   char *table;
   guint64 wanted;   /* the revision that the operator waits for */
   KnlTime deadline; /* of that wait */
@@ -88,7 +88,7 @@
   CtController *controller = call->operators->controller;
 
   g_ptr_array_remove_fast (call->operators->calls, call);
-  knl_timer_stop (call->operators->base.kernel, &call->step);
+  knl_timer_stop (call->operators->base.kernel, &call->wait_timer);
   if (controller != NULL)
     tb_call_cancel (controller->platform, &call->read);
   g_free (call->table);
@@ -173,10 +173,10 @@
 {
   CtController *controller = call->operators->controller;
   guint64 revision = *co_config_revision (controller->config);
-  char *after = co_change_key (revision > HISTORY_SHOWN ? revision - HISTORY_SHOWN : 0);
+  char *after = co_change_key (revision > MAX_HISTORY_ROWS ? revision - MAX_HISTORY_ROWS : 0);
 
-  call->read =
-      tb_scan (controller->platform, CO_CHANGE_PREFIX, after, HISTORY_SHOWN + 1, on_history, call);
+  call->read = tb_scan (controller->platform, CO_CHANGE_PREFIX, after, MAX_HISTORY_ROWS + 1,
+                        on_history, call);
   g_free (after);
 }
 
@@ -205,7 +205,7 @@
     }
   call->table = g_strdup (table);
   if (strcmp (table, "instances") == 0 || strcmp (table, "engines") == 0)
-    ct_gather_ask (controller->gather, table, on_gathered, call);
+    ct_gather_start (controller->gather, table, on_gathered, call);
   else if (strcmp (table, "leases") == 0)
     answer_rows (call, ct_show_leases (controller));
   else if (strcmp (table, "configuration") == 0)
@@ -238,7 +238,7 @@
     .dry_run = json_is_true (json_object_get (root, "dry_run")),
   };
 
-  if (operation == NULL || operation[0] == '\0' || strlen (operation) > OPERATION_LIMIT
+  if (operation == NULL || operation[0] == '\0' || strlen (operation) > MAX_OPERATION_BYTES
       || !json_is_array (apply.changes))
     answer_json (call, 422,
                  json_pack ("{s:[{s:i, s:s, s:s}]}", "findings", "index", 0, "where", "body",
@@ -305,7 +305,7 @@
   if (!in_force && knl_kernel_now (kernel) < call->deadline)
     {
       json_decref (lagging);
-      call->step = knl_timer_start (kernel, WAIT_STEP, step_wait, call);
+      call->wait_timer = knl_timer_start (kernel, WAIT_POLL_INTERVAL, step_wait, call);
       return;
     }
   answer_json (call, 200,
@@ -318,8 +318,8 @@
 {
   Call *call = data;
 
-  call->step = 0;
-  ct_gather_ask (call->operators->controller->gather, "instances", on_revisions, call);
+  call->wait_timer = 0;
+  ct_gather_start (call->operators->controller->gather, "instances", on_revisions, call);
 }
 
 static void
@@ -331,8 +331,8 @@
       query_number (request->query, "wait", (gint64)*co_config_revision (controller->config));
 
   call->wanted = (guint64)MAX (wanted, 0);
-  call->deadline = knl_kernel_now (call->operators->base.kernel)
-                   + CLAMP (timeout_ms, 0, WAIT_LIMIT_MS) * KNL_MSEC;
+  call->deadline =
+      knl_kernel_now (call->operators->base.kernel) + CLAMP (timeout_ms, 0, MAX_WAIT_MS) * KNL_MSEC;
   step_wait (call);
 }
 
@@ -360,7 +360,7 @@
   GString *text;
   CtOperatorAnswer *message;
 
-  ct_controller_gauge (call->operators->controller);
+  ct_controller_update_metrics (call->operators->controller);
   text = cm_metrics_render (call->operators->controller->options.metrics);
   message = ct_operator_answer_new (call->number, 200, g_string_free (text, FALSE));
   g_free (message->content_type);
--- a/controller/order.c
+++ b/controller/order.c
@@ -4,21 +4,21 @@
 #include "common/retry.h"
 
 /* An order on its way may arrive so late: the limit of a call to an engine, and some. */
-#define ORDER_LIMIT (5 * KNL_SEC)
+#define MAX_ORDER_DELAY (5 * KNL_SEC)
 
 /* Time between an order and its repetition, for the engine to load weights and report them; grows
    from the first value to the second. */
-#define SETTLE_FIRST (2 * KNL_SEC)
-#define SETTLE_LIMIT (60 * KNL_SEC)
+#define FIRST_SETTLE_DELAY (2 * KNL_SEC)
+#define MAX_SETTLE_DELAY   (60 * KNL_SEC)
 
 struct CtOrder
 {
   CtOrders *orders;
   char *name;
   guint shard;
-  KnlTime gained;
+  KnlTime gained_at;
   KnlTime not_before; /* earliest time of the next order */
-  CmBackoff settle;
+  CmBackoff settle_backoff;
   EpCallId call;
 };
 
@@ -30,8 +30,8 @@
   order->orders = orders;
   order->name = g_strdup (name);
   order->shard = shard;
-  order->gained = knl_kernel_now (orders->kernel);
-  order->settle = (CmBackoff){ .first = SETTLE_FIRST, .limit = SETTLE_LIMIT };
+  order->gained_at = knl_kernel_now (orders->kernel);
+  order->settle_backoff = (CmBackoff){ .first = FIRST_SETTLE_DELAY, .limit = MAX_SETTLE_DELAY };
   return order;
 }
 
@@ -46,7 +46,7 @@
 }
 
 static gboolean
-same (const char *have, const char *wanted)
+text_equal (const char *have, const char *wanted)
 {
   return g_strcmp0 (have != NULL ? have : "", wanted != NULL ? wanted : "") == 0;
 }
@@ -70,15 +70,16 @@
  * engine's report and is corrected by another order.
  */
 static gboolean
-must_wait_out (const CtOrder *order, const EpReport *report)
+must_wait_for_former_holder (const CtOrder *order, const EpReport *report)
 {
-  KnlTime since = knl_kernel_now (order->orders->kernel) - order->gained;
+  KnlTime since = knl_kernel_now (order->orders->kernel) - order->gained_at;
 
-  return !report->checks_fence && since < co_leases_duration (order->orders->leases) + ORDER_LIMIT;
+  return !report->checks_fence
+         && since < co_leases_duration (order->orders->leases) + MAX_ORDER_DELAY;
 }
 
 static gboolean
-may_load (CtOrders *orders, KnlTime now)
+try_load (CtOrders *orders, KnlTime now)
 {
   if (orders->last_load != 0 && now - orders->last_load < orders->load_interval)
     return FALSE;
@@ -87,33 +88,38 @@
 }
 
 void
-ct_order_step (CtOrder *order, const char *address, const EpReport *report, const CtPlaced *wanted)
+ct_order_handle_report (CtOrder *order,
+                        const char *address,
+                        const EpReport *report,
+                        const CtPlaced *wanted)
 {
   CtOrders *orders = order->orders;
   KnlTime now = knl_kernel_now (orders->kernel);
   gboolean loads;
-  EpOrder what = { 0 };
+  EpOrder message = { 0 };
 
   if (wanted == NULL || order->call != 0)
     return;
-  loads = !same (report->model, wanted->model) || !same (report->adapter, wanted->adapter);
-  if (!loads && same (report->role, wanted->role))
+  loads =
+      !text_equal (report->model, wanted->model) || !text_equal (report->adapter, wanted->adapter);
+  if (!loads && text_equal (report->role, wanted->role))
     {
-      cm_backoff_reset (&order->settle);
+      cm_backoff_reset (&order->settle_backoff);
       return;
     }
-  if (now < order->not_before || must_wait_out (order, report)
-      || (loads && !may_load (orders, now)))
+  if (now < order->not_before || must_wait_for_former_holder (order, report)
+      || (loads && !try_load (orders, now)))
     return;
-  what.model = wanted->model;
-  what.adapter = wanted->adapter;
-  what.role = wanted->role;
+  message.model = wanted->model;
+  message.adapter = wanted->adapter;
+  message.role = wanted->role;
   /* Checked right before sending, as this process may have been paused since the report arrived. */
-  if (!co_lease_valid (orders->leases, order->shard, &what.fence))
+  if (!co_lease_valid (orders->leases, order->shard, &message.fence))
     return;
-  cm_log (CM_LOG_INFO, "order", "s", "engine", order->name, "s", "model", what.model, "s",
-          "adapter", what.adapter, "s", "role", what.role, "i", "fence", (gint64)what.fence);
+  cm_log (CM_LOG_INFO, "order", "s", "engine", order->name, "s", "model", message.model, "s",
+          "adapter", message.adapter, "s", "role", message.role, "i", "fence",
+          (gint64)message.fence);
   orders->sent++;
-  order->not_before = now + cm_backoff_next (&order->settle, orders->kernel);
-  order->call = ep_client_order (orders->endpoints, address, &what, on_ordered, order);
+  order->not_before = now + cm_backoff_next (&order->settle_backoff, orders->kernel);
+  order->call = ep_client_order (orders->endpoints, address, &message, on_ordered, order);
 }
--- a/controller/parts.c
+++ b/controller/parts.c
@@ -9,47 +9,47 @@
 
 /* How often the rows of suspects are read, and how many suspects are kept. */
 #define SUSPECT_SCAN_INTERVAL (10 * KNL_SEC)
-#define SUSPECT_LIMIT         4096
+#define MAX_SUSPECTS          4096
 
 /* Half-life of the service that a workspace has received; the same value as in the entries. */
 #define SHARE_HALF_LIFE (10 * KNL_SEC)
 
 /* Idempotency records. A write is delayed so that several records go into one batch. */
-#define IDEM_BATCH_DELAY  (3 * KNL_MSEC)
-#define IDEM_BEGIN_LIMIT  (2 * KNL_SEC)
-#define IDEM_FINISH_LIMIT (5 * KNL_SEC)
-#define IDEM_CACHE        10000
+#define IDEM_BATCH_DELAY    (3 * KNL_MSEC)
+#define IDEM_BEGIN_TIMEOUT  (2 * KNL_SEC)
+#define IDEM_FINISH_TIMEOUT (5 * KNL_SEC)
+#define MAX_IDEM_CACHED     10000
 
 /* Length of the epochs in which the retention of idempotency records is counted, and the delay
    between two pages of deletions. */
-#define IDEM_EPOCH      (3600 * KNL_SEC)
-#define IDEM_PAGE_PAUSE (500 * KNL_MSEC)
+#define IDEM_EPOCH_DURATION (3600 * KNL_SEC)
+#define IDEM_PAGE_DELAY     (500 * KNL_MSEC)
 
 #define COMPACT_INTERVAL (60 * KNL_SEC)
 
 /* Longer than the timeouts of a holder, as the shard may be changing its holder. */
-#define RELAY_BEGIN_LIMIT  (4 * KNL_SEC)
-#define RELAY_FINISH_LIMIT (10 * KNL_SEC)
+#define RELAY_BEGIN_TIMEOUT  (4 * KNL_SEC)
+#define RELAY_FINISH_TIMEOUT (10 * KNL_SEC)
 
 static gboolean
-attempt_is_gone (const char *attempt, gpointer data)
+attempt_has_ended (const char *attempt, gpointer data)
 {
   const CtController *controller = data;
   char *instance = NULL;
   guint64 incarnation = 0;
-  gboolean gone;
+  gboolean ended;
 
   if (!co_request_parse (attempt, &instance, &incarnation))
     return FALSE;
-  gone = ct_members_entry_state (controller->members, instance, incarnation) != CO_ENTRY_HERE;
+  ended = ct_members_entry_state (controller->members, instance, incarnation) != CO_ENTRY_PRESENT;
   g_free (instance);
-  return gone;
+  return ended;
 }
 
 static void
 answer_credit (const Alderturn__CreditRequest *request, GPtrArray *grants, gpointer data)
 {
-  ct_engines_credit (((CtController *)data)->engines, request, grants);
+  ct_engines_grant_credit (((CtController *)data)->engines, request, grants);
 }
 
 static gboolean
@@ -81,10 +81,10 @@
 }
 
 static const char *
-address_of (const char *name, gpointer data)
+controller_address (const char *name, gpointer data)
 {
   const Alderturn__Member *member =
-      co_members_find (ct_members_known (((CtController *)data)->members),
+      co_members_find (ct_members_membership (((CtController *)data)->members),
                        ALDERTURN__MEMBER_KIND__MEMBER_KIND_CONTROLLER, name);
 
   return member != NULL && member->address[0] != '\0' ? member->address : NULL;
@@ -123,9 +123,9 @@
     .platform = controller->platform,
     .replica = controller->config,
     .poll_interval = settings->config_poll_ms * KNL_MSEC,
-    .idle_interval = settings->config_poll_ms * KNL_MSEC * CT_IDLE_POLLS,
-    .apply_limit = CT_APPLY_LIMIT,
-    .on_ready = ct_config_ready,
+    .idle_interval = settings->config_poll_ms * KNL_MSEC * CT_IDLE_POLL_FACTOR,
+    .apply_limit = CT_APPLY_TIMEOUT,
+    .on_ready = ct_config_on_ready,
     .data = controller,
   };
 
@@ -148,12 +148,12 @@
     .kernel = controller->kernel,
     .platform = controller->platform,
     .batch_delay = IDEM_BATCH_DELAY,
-    .begin_limit = IDEM_BEGIN_LIMIT,
-    .finish_limit = IDEM_FINISH_LIMIT,
+    .begin_limit = IDEM_BEGIN_TIMEOUT,
+    .finish_limit = IDEM_FINISH_TIMEOUT,
     .attempt_limit = settings->idem_attempt_ms * KNL_MSEC,
     .answer_bytes = (gsize)settings->idem_answer_bytes,
-    .cache_limit = IDEM_CACHE,
-    .attempt_gone = attempt_is_gone,
+    .cache_limit = MAX_IDEM_CACHED,
+    .attempt_gone = attempt_has_ended,
     .data = controller,
   };
 
@@ -180,9 +180,9 @@
     .platform = controller->platform,
     .leases = controller->leases,
     .idem = controller->idem,
-    .epoch_time = IDEM_EPOCH,
+    .epoch_time = IDEM_EPOCH_DURATION,
     .keep = (guint64)settings->idem_retention_hours,
-    .page_pause = IDEM_PAGE_PAUSE,
+    .page_pause = IDEM_PAGE_DELAY,
   };
 
   controller->compact = co_config_compact_new (&compact);
@@ -200,7 +200,7 @@
     .links = controller->links,
     .identity = controller->options.identity,
     .poll_interval = settings->instance_poll_ms * KNL_MSEC,
-    .changed = ct_controller_members_changed,
+    .changed = ct_controller_on_members_changed,
     .data = controller,
   };
   CoSuspectOptions suspects = {
@@ -208,8 +208,8 @@
     .platform = controller->platform,
     .ttl = settings->suspect_ttl_ms * KNL_MSEC,
     .scan_interval = SUSPECT_SCAN_INTERVAL,
-    .limit = SUSPECT_LIMIT,
-    .changed = ct_controller_suspects_changed,
+    .limit = MAX_SUSPECTS,
+    .changed = ct_controller_on_suspects_changed,
     .data = controller,
   };
 
@@ -221,27 +221,28 @@
 {
   CtController *controller;
   guint count;
-} Reached;
+} Connecting;
 
 static void
-reach_controller (const Alderturn__Member *member, gpointer data)
+connect_controller (const Alderturn__Member *member, gpointer data)
 {
-  Reached *reached = data;
+  Connecting *connecting = data;
 
-  if (strcmp (member->name, reached->controller->options.identity->instance) == 0)
+  if (strcmp (member->name, connecting->controller->options.identity->instance) == 0)
     return;
-  reached->count++;
-  ct_links_connect (reached->controller->links, member->name, member->address);
+  connecting->count++;
+  ct_links_connect (connecting->controller->links, member->name, member->address);
 }
 
 static guint
-reach_controllers (gpointer data)
+connect_controllers (gpointer data)
 {
-  Reached reached = { .controller = data };
+  Connecting connecting = { .controller = data };
 
-  co_members_foreach (ct_members_known (reached.controller->members),
-                      ALDERTURN__MEMBER_KIND__MEMBER_KIND_CONTROLLER, reach_controller, &reached);
-  return reached.count;
+  co_members_foreach (ct_members_membership (connecting.controller->members),
+                      ALDERTURN__MEMBER_KIND__MEMBER_KIND_CONTROLLER, connect_controller,
+                      &connecting);
+  return connecting.count;
 }
 
 static void
@@ -264,10 +265,10 @@
     .links = controller->links,
     .leases = controller->leases,
     .idem = controller->idem,
-    .answers = { .credit = answer_credit, .share = answer_share, .address = address_of },
+    .answers = { .credit = answer_credit, .share = answer_share, .address = controller_address },
     .data = controller,
-    .begin_limit = RELAY_BEGIN_LIMIT,
-    .finish_limit = RELAY_FINISH_LIMIT,
+    .begin_limit = RELAY_BEGIN_TIMEOUT,
+    .finish_limit = RELAY_FINISH_TIMEOUT,
   };
 
   controller->engines = ct_engines_new (&engines);
@@ -280,7 +281,7 @@
   CtGatherOptions gather = {
     .kernel = controller->kernel,
     .own_rows = ct_show_own_rows,
-    .reach = reach_controllers,
+    .connect_all = connect_controllers,
     .data = controller,
   };
   controller->platform = ct_metered_platform_new (controller->options.platform, controller->kernel,
--- a/controller/peers.c
+++ b/controller/peers.c
@@ -29,7 +29,7 @@
 }
 
 void
-ct_controller_suspects_changed (const Alderturn__SuspectUpdate *update, gpointer data)
+ct_controller_on_suspects_changed (const Alderturn__SuspectUpdate *update, gpointer data)
 {
   CtController *controller = data;
 
@@ -43,22 +43,22 @@
 static void
 keep_links (CtController *controller, const GArray *places, const GPtrArray *addresses)
 {
-  CoPlace self = { .name = controller->options.identity->instance,
-                   .zone = controller->options.identity->zone };
+  CoNode self = { .name = controller->options.identity->instance,
+                  .zone = controller->options.identity->zone };
   g_autofree gboolean *keep = g_new0 (gboolean, places->len);
   g_autofree const char **names = g_new0 (const char *, places->len);
-  g_autofree const char **kept = g_new0 (const char *, places->len);
+  g_autofree const char **kept_addresses = g_new0 (const char *, places->len);
   guint n = 0;
 
-  co_overlay_choose (&self, (const CoPlace *)places->data, places->len, keep);
+  co_overlay_choose (&self, (const CoNode *)places->data, places->len, keep);
   for (guint i = 0; i < places->len; i++)
     {
       if (!keep[i])
         continue;
-      names[n] = g_array_index (places, CoPlace, i).name;
-      kept[n++] = g_ptr_array_index (addresses, i);
+      names[n] = g_array_index (places, CoNode, i).name;
+      kept_addresses[n++] = g_ptr_array_index (addresses, i);
     }
-  ct_links_keep (controller->links, names, kept, n);
+  ct_links_keep (controller->links, names, kept_addresses, n);
 }
 
 /* Updates the links to keep, the controllers that may hold shards, and whether this controller is
@@ -71,18 +71,18 @@
   const char *zone = controller->options.identity->zone;
   GPtrArray *all = g_ptr_array_new ();
   GPtrArray *in_zone = g_ptr_array_new ();
-  GArray *places = g_array_new (FALSE, FALSE, sizeof (CoPlace));
+  GArray *places = g_array_new (FALSE, FALSE, sizeof (CoNode));
   GPtrArray *addresses = g_ptr_array_new ();
 
   for (guint i = 0; i < view->len; i++)
     {
       const Alderturn__Member *member = g_ptr_array_index (view, i);
-      CoPlace place;
+      CoNode place;
 
       if (member->kind != ALDERTURN__MEMBER_KIND__MEMBER_KIND_CONTROLLER
           || ct_member_is_leaving (member))
         continue;
-      place = (CoPlace){ .name = member->name, .zone = member->zone };
+      place = (CoNode){ .name = member->name, .zone = member->zone };
       g_array_append_val (places, place);
       g_ptr_array_add (addresses, member->address);
       g_ptr_array_add (all, member->name);
@@ -103,7 +103,7 @@
 }
 
 void
-ct_controller_members_changed (CtMembers *members, gpointer data)
+ct_controller_on_members_changed (CtMembers *members, gpointer data)
 {
   CtController *controller = data;
 
@@ -121,10 +121,10 @@
   send_suspects (controller, peer);
   if (peer->role != ALDERTURN__ROLE__ROLE_ENTRY)
     {
-      ct_gather_opened (controller->gather, peer);
+      ct_gather_on_peer_opened (controller->gather, peer);
       return;
     }
-  ct_members_entry (controller->members, peer);
+  ct_members_update_entry (controller->members, peer);
   send_members (peer, controller);
 }
 
@@ -137,7 +137,7 @@
     return;
   ct_relay_peer_closed (controller->relay, peer);
   if (peer->role == ALDERTURN__ROLE__ROLE_ENTRY)
-    ct_members_entry_gone (controller->members, peer);
+    ct_members_remove_entry (controller->members, peer);
 }
 
 static void
@@ -145,11 +145,11 @@
 {
   peer->ready = status->ready;
   peer->in_flight = status->in_flight;
-  ct_config_peer_revision (controller, peer, status->config_revision);
+  ct_config_handle_revision (controller, peer, status->config_revision);
   if (peer->draining == (gboolean)status->draining)
     return;
   peer->draining = status->draining;
-  ct_members_entry (controller->members, peer);
+  ct_members_update_entry (controller->members, peer);
 }
 
 /*
@@ -159,18 +159,20 @@
  * that are new to it.
  */
 static void
-on_crash (CtController *controller, const CtPeer *peer, const Alderturn__Frame *frame)
+on_crash_report (CtController *controller, const CtPeer *peer, const Alderturn__Frame *frame)
 {
   gboolean own = peer->role == ALDERTURN__ROLE__ROLE_ENTRY;
 
-  if (co_suspects_crash (controller->suspects, frame->crash_report, own))
+  if (co_suspects_handle_crash (controller->suspects, frame->crash_report, own))
     ct_links_broadcast (controller->links, ALDERTURN__ROLE__ROLE_CONTROLLER, frame);
 }
 
 static gboolean
-member_frame (CtController *controller, const CtPeer *peer, const Alderturn__Frame *frame)
+handle_controller_frame (CtController *controller,
+                         const CtPeer *peer,
+                         const Alderturn__Frame *frame)
 {
-  CoMembers *members = ct_members_known (controller->members);
+  CoMembers *members = ct_members_membership (controller->members);
 
   if (peer->role != ALDERTURN__ROLE__ROLE_CONTROLLER)
     return FALSE;
@@ -186,16 +188,16 @@
       co_members_handle_update (members, peer->name, frame->member_update);
       return TRUE;
     case ALDERTURN__FRAME__BODY_SUSPECT_UPDATE:
-      co_suspects_hear (controller->suspects, frame->suspect_update);
+      co_suspects_handle_update (controller->suspects, frame->suspect_update);
       return TRUE;
     case ALDERTURN__FRAME__BODY_QUERY:
-      ct_gather_query (controller->gather, (CtPeer *)peer, frame->query);
+      ct_gather_handle_query (controller->gather, (CtPeer *)peer, frame->query);
       return TRUE;
     case ALDERTURN__FRAME__BODY_QUERY_REPLY:
-      ct_gather_reply (controller->gather, frame->query_reply);
+      ct_gather_handle_reply (controller->gather, frame->query_reply);
       return TRUE;
     case ALDERTURN__FRAME__BODY_CONFIG_PUSH:
-      ct_config_push (controller, peer, frame->config_push);
+      ct_config_handle_push (controller, peer, frame->config_push);
       return TRUE;
     default:
       return FALSE;
@@ -207,12 +209,13 @@
 {
   CtController *controller = data;
 
-  if (ct_relay_frame (controller->relay, peer, frame) || member_frame (controller, peer, frame))
+  if (ct_relay_handle_frame (controller->relay, peer, frame)
+      || handle_controller_frame (controller, peer, frame))
     return;
   switch (frame->body_case)
     {
     case ALDERTURN__FRAME__BODY_HEARTBEAT:
-      ct_config_peer_revision (controller, peer, frame->heartbeat->config_revision);
+      ct_config_handle_revision (controller, peer, frame->heartbeat->config_revision);
       break;
     case ALDERTURN__FRAME__BODY_CONFIG_PULL:
       ct_config_send (controller, peer, frame->config_pull->have_revision);
@@ -221,7 +224,7 @@
       on_entry_status (controller, peer, frame->entry_status);
       break;
     case ALDERTURN__FRAME__BODY_CRASH_REPORT:
-      on_crash (controller, peer, frame);
+      on_crash_report (controller, peer, frame);
       break;
     default:
       break;
--- a/controller/placement.c
+++ b/controller/placement.c
@@ -9,7 +9,7 @@
 {
   const char *name;
   const char *label;
-  gboolean taken;
+  gboolean assigned;
   guint64 weight; /* rank for the service or role being placed */
 } Engine;
 
@@ -17,7 +17,7 @@
 {
   GArray *engines; /* Engine */
   GHashTable *placed;
-  gboolean rest; /* placing the services that use all remaining engines */
+  gboolean use_remaining; /* placing the services that use all remaining engines */
 } Placer;
 
 static void
@@ -42,21 +42,21 @@
   return strcmp (x->name, y->name);
 }
 
-/* Sorts the engines by their rendezvous hashing weight for `thing`, highest first. */
+/* Sorts the engines by their rendezvous hashing weight for `key`, highest first. */
 static void
-rank (GPtrArray *engines, const char *thing)
+rank_engines (GPtrArray *engines, const char *key)
 {
   for (guint i = 0; i < engines->len; i++)
     {
       Engine *engine = g_ptr_array_index (engines, i);
 
-      engine->weight = co_rendezvous_weight (engine->name, thing);
+      engine->weight = co_rendezvous_weight (engine->name, key);
     }
   g_ptr_array_sort (engines, compare_weights);
 }
 
 static GPtrArray *
-free_engines (const Placer *placer, const char *label)
+unassigned_engines (const Placer *placer, const char *label)
 {
   GPtrArray *engines = g_ptr_array_new ();
 
@@ -64,47 +64,47 @@
     {
       Engine *engine = &g_array_index (placer->engines, Engine, i);
 
-      if (!engine->taken && strcmp (engine->label, label) == 0)
+      if (!engine->assigned && strcmp (engine->label, label) == 0)
         g_ptr_array_add (engines, engine);
     }
   return engines;
 }
 
-/* Number of engines for long prompts among `n`. With `part` between 0 and 1 and at least two
+/* Number of engines for long prompts among `n`. With `long_share` between 0 and 1 and at least two
    engines, either role has at least one engine. */
 static guint
-long_engines (guint n, double part)
+long_engines (guint n, double long_share)
 {
-  guint n_long = (guint)lround ((double)n * part);
+  guint n_long = (guint)lround ((double)n * long_share);
 
-  if (part <= 0 || part >= 1 || n < 2)
-    return part >= 1 ? n : 0;
+  if (long_share <= 0 || long_share >= 1 || n < 2)
+    return long_share >= 1 ? n : 0;
   return CLAMP (n_long, 1, n - 1);
 }
 
 static void
 place (Placer *placer, const CoObject *service, GPtrArray *engines)
 {
-  double part = co_object_double (service, "long-share");
-  guint n_long = long_engines (engines->len, part);
-  char *thing = g_strconcat ("role/", service->name, NULL);
+  double long_share = co_object_double (service, "long-share");
+  guint n_long = long_engines (engines->len, long_share);
+  char *key = g_strconcat ("role/", service->name, NULL);
 
-  rank (engines, thing);
+  rank_engines (engines, key);
   for (guint i = 0; i < engines->len; i++)
     {
       Engine *engine = g_ptr_array_index (engines, i);
       CtPlaced *placed = g_new0 (CtPlaced, 1);
 
-      engine->taken = TRUE;
+      engine->assigned = TRUE;
       placed->service = g_strdup (service->name);
       placed->model = g_strdup (co_object_string (service, "model"));
       placed->adapter = g_strdup (co_object_string (service, "adapter"));
       placed->role = i < n_long ? "long" : "short";
-      if (engines->len == 1 || part <= 0)
+      if (engines->len == 1 || long_share <= 0)
         placed->role = "any";
       g_hash_table_insert (placer->placed, g_strdup (engine->name), placed);
     }
-  g_free (thing);
+  g_free (key);
 }
 
 static void
@@ -113,18 +113,19 @@
   Placer *placer = data;
   guint wanted = (guint)co_object_integer (service, "engines");
   GPtrArray *engines;
-  char *thing;
+  char *key;
 
-  if (strcmp (co_object_string (service, "kind"), "model") != 0 || placer->rest != (wanted == 0))
+  if (strcmp (co_object_string (service, "kind"), "model") != 0
+      || placer->use_remaining != (wanted == 0))
     return;
-  engines = free_engines (placer, co_object_string (service, "endpoints"));
-  thing = g_strconcat ("service/", service->name, NULL);
-  rank (engines, thing);
+  engines = unassigned_engines (placer, co_object_string (service, "endpoints"));
+  key = g_strconcat ("service/", service->name, NULL);
+  rank_engines (engines, key);
   if (wanted > 0 && engines->len > wanted)
     g_ptr_array_set_size (engines, (gint)wanted);
   place (placer, service, engines);
   g_ptr_array_free (engines, TRUE);
-  g_free (thing);
+  g_free (key);
 }
 
 GHashTable *
@@ -146,7 +147,7 @@
     }
   /* Services with a fixed number of engines first, then those that use all remaining engines. */
   co_config_foreach (config, "service", place_service, &placer);
-  placer.rest = TRUE;
+  placer.use_remaining = TRUE;
   co_config_foreach (config, "service", place_service, &placer);
   g_array_free (placer.engines, TRUE);
   return placer.placed;
--- a/controller/relay.c
+++ b/controller/relay.c
@@ -6,25 +6,25 @@
 
 /* Number of forwarded credit requests whose answers can be matched. Older ones are overwritten and
    their answers dropped, as entries repeat their requests soon. */
-#define CALLS_LIMIT 1024
+#define MAX_FORWARDED_CALLS 1024
 
 /* Maximum number of unanswered share reports forwarded over one link; further ones are dropped. */
-#define SHARES_LIMIT 256
+#define MAX_FORWARDED_REPORTS 256
 
 typedef struct
 {
   guint64 call;
   guint64 peer; /* id of the entry's link */
-  guint64 its_call;
-} Passed;
+  guint64 peer_call;
+} ForwardedCall;
 
 struct CtRelay
 {
   CtRelayOptions options;
   CtRelayIdem *idem;
   guint64 last_call;
-  Passed passed[CALLS_LIMIT]; /* indexed by call modulo CALLS_LIMIT */
-  GHashTable *shares;         /* controller's link id -> GQueue of entries' link ids, guint64 * */
+  ForwardedCall forwarded[MAX_FORWARDED_CALLS]; /* indexed by call modulo MAX_FORWARDED_CALLS */
+  GHashTable *shares; /* controller's link id -> GQueue of entries' link ids, guint64 * */
 };
 
 static void
@@ -55,7 +55,7 @@
 }
 
 CtPeer *
-ct_relay_reach (const CtRelayOptions *options, const char *controller)
+ct_relay_connect (const CtRelayOptions *options, const char *controller)
 {
   CtPeer *peer = ct_links_find (options->links, ALDERTURN__ROLE__ROLE_CONTROLLER, controller);
   const char *address = peer == NULL ? options->answers.address (controller, options->data) : NULL;
@@ -74,7 +74,7 @@
 
   if (view.holder == NULL)
     return NULL;
-  return ct_relay_reach (&relay->options, view.holder);
+  return ct_relay_connect (&relay->options, view.holder);
 }
 
 static void
@@ -128,20 +128,20 @@
 }
 
 static void
-pass_credit (CtRelay *relay,
-             const CtPeer *peer,
-             CtPeer *holder,
-             const Alderturn__CreditRequest *request,
-             const GPtrArray *wants)
+forward_credit (CtRelay *relay,
+                const CtPeer *peer,
+                CtPeer *holder,
+                const Alderturn__CreditRequest *request,
+                const GPtrArray *wants)
 {
-  Alderturn__CreditRequest part = *request;
-
-  part.call = ++relay->last_call;
-  part.wants = (Alderturn__CreditWant **)wants->pdata;
-  part.n_wants = wants->len;
-  relay->passed[part.call % CALLS_LIMIT] =
-      (Passed){ .call = part.call, .peer = peer->id, .its_call = request->call };
-  ct_peer_send (holder, WR_FRAME (CREDIT_REQUEST, credit_request, &part));
+  Alderturn__CreditRequest partial = *request;
+
+  partial.call = ++relay->last_call;
+  partial.wants = (Alderturn__CreditWant **)wants->pdata;
+  partial.n_wants = wants->len;
+  relay->forwarded[partial.call % MAX_FORWARDED_CALLS] =
+      (ForwardedCall){ .call = partial.call, .peer = peer->id, .peer_call = request->call };
+  ct_peer_send (holder, WR_FRAME (CREDIT_REQUEST, credit_request, &partial));
 }
 
 static void
@@ -161,21 +161,22 @@
                        request->wants[i]);
   g_hash_table_iter_init (&iter, by_holder);
   while (g_hash_table_iter_next (&iter, &holder, &wants))
-    pass_credit (relay, peer, holder, request, wants);
+    forward_credit (relay, peer, holder, request, wants);
   g_hash_table_destroy (by_holder);
 }
 
 static void
 on_credit_reply (CtRelay *relay, const Alderturn__CreditReply *reply)
 {
-  const Passed *passed = &relay->passed[reply->call % CALLS_LIMIT];
-  CtPeer *entry =
-      passed->call == reply->call ? ct_links_find_id (relay->options.links, passed->peer) : NULL;
+  const ForwardedCall *forwarded = &relay->forwarded[reply->call % MAX_FORWARDED_CALLS];
+  CtPeer *entry = forwarded->call == reply->call
+                      ? ct_links_find_id (relay->options.links, forwarded->peer)
+                      : NULL;
   Alderturn__CreditReply copy = *reply;
 
   if (entry == NULL || reply->n_grants == 0)
     return;
-  copy.call = passed->its_call;
+  copy.call = forwarded->peer_call;
   ct_peer_send (entry, WR_FRAME (CREDIT_REPLY, credit_reply, &copy));
 }
 
@@ -205,13 +206,13 @@
 /* Share updates carry no call number. As a link keeps the order of its frames, the answers arrive
    in the order of the reports, and the queue of the link matches them. */
 static void
-pass_shares (CtRelay *relay,
-             const CtPeer *peer,
-             CtPeer *holder,
-             const Alderturn__ShareReport *report,
-             const GPtrArray *demands)
+forward_shares (CtRelay *relay,
+                const CtPeer *peer,
+                CtPeer *holder,
+                const Alderturn__ShareReport *report,
+                const GPtrArray *demands)
 {
-  Alderturn__ShareReport part = *report;
+  Alderturn__ShareReport partial = *report;
   GQueue *waiting = g_hash_table_lookup (relay->shares, &holder->id);
 
   if (waiting == NULL)
@@ -219,12 +220,12 @@
       waiting = g_queue_new ();
       g_hash_table_insert (relay->shares, g_memdup2 (&holder->id, sizeof (holder->id)), waiting);
     }
-  if (waiting->length >= SHARES_LIMIT)
+  if (waiting->length >= MAX_FORWARDED_REPORTS)
     return;
   g_queue_push_tail (waiting, g_memdup2 (&peer->id, sizeof (peer->id)));
-  part.demands = (Alderturn__ShareReport__Demand **)demands->pdata;
-  part.n_demands = demands->len;
-  ct_peer_send (holder, WR_FRAME (SHARE_REPORT, share_report, &part));
+  partial.demands = (Alderturn__ShareReport__Demand **)demands->pdata;
+  partial.n_demands = demands->len;
+  ct_peer_send (holder, WR_FRAME (SHARE_REPORT, share_report, &partial));
 }
 
 static void
@@ -244,7 +245,7 @@
                        report->demands[i]);
   g_hash_table_iter_init (&iter, by_holder);
   while (g_hash_table_iter_next (&iter, &holder, &demands))
-    pass_shares (relay, peer, holder, report, demands);
+    forward_shares (relay, peer, holder, report, demands);
   g_hash_table_destroy (by_holder);
 }
 
@@ -262,7 +263,7 @@
 }
 
 gboolean
-ct_relay_frame (CtRelay *relay, CtPeer *peer, const Alderturn__Frame *frame)
+ct_relay_handle_frame (CtRelay *relay, CtPeer *peer, const Alderturn__Frame *frame)
 {
   switch (frame->body_case)
     {
@@ -279,10 +280,10 @@
       ct_relay_idem_finish (relay->idem, peer, frame->idem_finish);
       return TRUE;
     case ALDERTURN__FRAME__BODY_IDEM_REPLY:
-      ct_relay_idem_reply (relay->idem, frame->idem_reply);
+      ct_relay_idem_handle_reply (relay->idem, frame->idem_reply);
       return TRUE;
     case ALDERTURN__FRAME__BODY_IDEM_FINISH_REPLY:
-      ct_relay_idem_finished (relay->idem, frame->idem_finish_reply);
+      ct_relay_idem_handle_finish_reply (relay->idem, frame->idem_finish_reply);
       return TRUE;
     case ALDERTURN__FRAME__BODY_SHARE_REPORT:
       on_share_report (relay, peer, frame->share_report);
--- a/controller/relay_idem.c
+++ b/controller/relay_idem.c
@@ -6,25 +6,25 @@
 #define RETRY_DELAY (100 * KNL_MSEC)
 
 /* Timeout of another controller's answer, after which the request is sent again. */
-#define ANSWER_LIMIT (2500 * KNL_MSEC)
+#define ANSWER_TIMEOUT (2500 * KNL_MSEC)
 
-#define PENDING_LIMIT 20000
+#define MAX_PENDING 20000
 
 struct CtRelayIdem
 {
   CtRelayOptions options;
   guint64 last_call;
-  GHashTable *pending; /* call -> Pending */
-  GHashTable *foreign; /* set of `Foreign`, owned */
+  GHashTable *pending;   /* call -> Pending */
+  GHashTable *forwarded; /* set of `ForwardedRequest`, owned */
 };
 
 /* An entry's request that hasn't been answered yet. */
 typedef struct
 {
   CtRelayIdem *relay;
-  guint64 call;     /* number chosen by this relay, which other controllers' answers repeat */
-  guint64 peer;     /* id of the entry's link; 0: no entry waits for the answer */
-  guint64 its_call; /* number chosen by the entry */
+  guint64 call;      /* number chosen by this relay, which other controllers' answers repeat */
+  guint64 peer;      /* id of the entry's link; 0: no entry waits for the answer */
+  guint64 peer_call; /* number chosen by the entry */
   Alderturn__Frame *frame;
   KnlTime deadline;
   KnlTimerId timer;
@@ -37,8 +37,8 @@
 {
   CtRelayIdem *relay;
   guint64 peer;
-  guint64 its_call;
-} Foreign;
+  guint64 peer_call;
+} ForwardedRequest;
 
 static void try_holder (gpointer data);
 
@@ -59,7 +59,7 @@
 
   relay->options = *options;
   relay->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, pending_free);
-  relay->foreign = g_hash_table_new_full (NULL, NULL, g_free, NULL);
+  relay->forwarded = g_hash_table_new_full (NULL, NULL, g_free, NULL);
   return relay;
 }
 
@@ -69,7 +69,7 @@
   if (relay == NULL)
     return;
   g_hash_table_destroy (relay->pending);
-  g_hash_table_destroy (relay->foreign);
+  g_hash_table_destroy (relay->forwarded);
   g_free (relay);
 }
 
@@ -141,12 +141,12 @@
   pending->frame = frame_copy (frame);
   if (is_begin (pending))
     {
-      pending->its_call = pending->frame->idem_begin->call;
+      pending->peer_call = pending->frame->idem_begin->call;
       pending->frame->idem_begin->call = pending->call;
     }
   else
     {
-      pending->its_call = pending->frame->idem_finish->call;
+      pending->peer_call = pending->frame->idem_finish->call;
       pending->frame->idem_finish->call = pending->call;
     }
   pending->deadline = knl_kernel_now (relay->options.kernel) + limit;
@@ -180,10 +180,10 @@
 
   reply.verdict = ALDERTURN__IDEM_VERDICT__IDEM_VERDICT_REFUSED;
   if (!is_begin (pending))
-    send_finished (relay, pending->peer, pending->its_call, FALSE);
+    send_finished (relay, pending->peer, pending->peer_call, FALSE);
   else
     {
-      send_reply (relay, pending->peer, pending->its_call, &reply);
+      send_reply (relay, pending->peer, pending->peer_call, &reply);
       if (pending->sent)
         record_not_run (relay, pending->frame->idem_begin);
     }
@@ -191,7 +191,7 @@
 }
 
 static void
-wait_and_retry (Pending *pending, KnlTime delay)
+schedule_retry (Pending *pending, KnlTime delay)
 {
   KnlKernel *kernel = pending->relay->options.kernel;
 
@@ -201,45 +201,45 @@
 }
 
 static void
-take_reply (Pending *pending, const Alderturn__IdemReply *reply)
+handle_reply (Pending *pending, const Alderturn__IdemReply *reply)
 {
   /* The shard may be moving from one holder to the next: try again. */
   if (reply->verdict == ALDERTURN__IDEM_VERDICT__IDEM_VERDICT_REFUSED
       && knl_kernel_now (pending->relay->options.kernel) < pending->deadline)
     {
-      wait_and_retry (pending, RETRY_DELAY);
+      schedule_retry (pending, RETRY_DELAY);
       return;
     }
-  send_reply (pending->relay, pending->peer, pending->its_call, reply);
+  send_reply (pending->relay, pending->peer, pending->peer_call, reply);
   g_hash_table_remove (pending->relay->pending, &pending->call);
 }
 
 static void
-take_finished (Pending *pending, gboolean durable)
+handle_finished (Pending *pending, gboolean durable)
 {
   if (!durable && knl_kernel_now (pending->relay->options.kernel) < pending->deadline)
     {
-      wait_and_retry (pending, RETRY_DELAY);
+      schedule_retry (pending, RETRY_DELAY);
       return;
     }
-  send_finished (pending->relay, pending->peer, pending->its_call, durable);
+  send_finished (pending->relay, pending->peer, pending->peer_call, durable);
   g_hash_table_remove (pending->relay->pending, &pending->call);
 }
 
 static void
 on_local_reply (const Alderturn__IdemReply *reply, gpointer data)
 {
-  take_reply (data, reply);
+  handle_reply (data, reply);
 }
 
 static void
 on_local_finished (gboolean durable, gpointer data)
 {
-  take_finished (data, durable);
+  handle_finished (data, durable);
 }
 
 static void
-ask_own_records (Pending *pending)
+query_own_records (Pending *pending)
 {
   CoIdem *idem = pending->relay->options.idem;
 
@@ -268,50 +268,50 @@
   if (co_lease_valid (relay->options.leases, shard, NULL))
     {
       pending->sent = TRUE;
-      ask_own_records (pending);
+      query_own_records (pending);
       return;
     }
   view = co_lease_view (relay->options.leases, shard);
   if (view.holder != NULL)
-    holder = ct_relay_reach (&relay->options, view.holder);
+    holder = ct_relay_connect (&relay->options, view.holder);
   if (holder == NULL)
     {
-      wait_and_retry (pending, RETRY_DELAY);
+      schedule_retry (pending, RETRY_DELAY);
       return;
     }
   pending->sent = TRUE;
   ct_peer_send (holder, pending->frame);
-  wait_and_retry (pending, ANSWER_LIMIT);
+  schedule_retry (pending, ANSWER_TIMEOUT);
 }
 
 static void
-on_foreign_reply (const Alderturn__IdemReply *reply, gpointer data)
+on_forwarded_reply (const Alderturn__IdemReply *reply, gpointer data)
 {
-  Foreign *foreign = data;
+  ForwardedRequest *forwarded = data;
 
-  send_reply (foreign->relay, foreign->peer, foreign->its_call, reply);
-  g_hash_table_remove (foreign->relay->foreign, foreign);
+  send_reply (forwarded->relay, forwarded->peer, forwarded->peer_call, reply);
+  g_hash_table_remove (forwarded->relay->forwarded, forwarded);
 }
 
 static void
-on_foreign_finished (gboolean durable, gpointer data)
+on_forwarded_finished (gboolean durable, gpointer data)
 {
-  Foreign *foreign = data;
+  ForwardedRequest *forwarded = data;
 
-  send_finished (foreign->relay, foreign->peer, foreign->its_call, durable);
-  g_hash_table_remove (foreign->relay->foreign, foreign);
+  send_finished (forwarded->relay, forwarded->peer, forwarded->peer_call, durable);
+  g_hash_table_remove (forwarded->relay->forwarded, forwarded);
 }
 
-static Foreign *
-foreign_new (CtRelayIdem *relay, const CtPeer *peer, guint64 call)
+static ForwardedRequest *
+forwarded_new (CtRelayIdem *relay, const CtPeer *peer, guint64 call)
 {
-  Foreign *foreign = g_new0 (Foreign, 1);
+  ForwardedRequest *forwarded = g_new0 (ForwardedRequest, 1);
 
-  foreign->relay = relay;
-  foreign->peer = peer->id;
-  foreign->its_call = call;
-  g_hash_table_add (relay->foreign, foreign);
-  return foreign;
+  forwarded->relay = relay;
+  forwarded->peer = peer->id;
+  forwarded->peer_call = call;
+  g_hash_table_add (relay->forwarded, forwarded);
+  return forwarded;
 }
 
 void
@@ -319,11 +319,11 @@
 {
   if (peer->role == ALDERTURN__ROLE__ROLE_CONTROLLER)
     {
-      co_idem_begin (relay->options.idem, begin, on_foreign_reply,
-                     foreign_new (relay, peer, begin->call));
+      co_idem_begin (relay->options.idem, begin, on_forwarded_reply,
+                     forwarded_new (relay, peer, begin->call));
       return;
     }
-  if (g_hash_table_size (relay->pending) >= PENDING_LIMIT)
+  if (g_hash_table_size (relay->pending) >= MAX_PENDING)
     {
       Alderturn__IdemReply reply = ALDERTURN__IDEM_REPLY__INIT;
 
@@ -341,11 +341,11 @@
 {
   if (peer->role == ALDERTURN__ROLE__ROLE_CONTROLLER)
     {
-      co_idem_finish (relay->options.idem, finish, on_foreign_finished,
-                      foreign_new (relay, peer, finish->call));
+      co_idem_finish (relay->options.idem, finish, on_forwarded_finished,
+                      forwarded_new (relay, peer, finish->call));
       return;
     }
-  if (g_hash_table_size (relay->pending) >= PENDING_LIMIT)
+  if (g_hash_table_size (relay->pending) >= MAX_PENDING)
     {
       send_finished (relay, peer->id, finish->call, FALSE);
       return;
@@ -356,21 +356,21 @@
 }
 
 void
-ct_relay_idem_reply (CtRelayIdem *relay, const Alderturn__IdemReply *reply)
+ct_relay_idem_handle_reply (CtRelayIdem *relay, const Alderturn__IdemReply *reply)
 {
   Pending *pending = g_hash_table_lookup (relay->pending, &reply->call);
 
   if (pending != NULL && is_begin (pending) && !pending->local)
-    take_reply (pending, reply);
+    handle_reply (pending, reply);
 }
 
 void
-ct_relay_idem_finished (CtRelayIdem *relay, const Alderturn__IdemFinishReply *reply)
+ct_relay_idem_handle_finish_reply (CtRelayIdem *relay, const Alderturn__IdemFinishReply *reply)
 {
   Pending *pending = g_hash_table_lookup (relay->pending, &reply->call);
 
   if (pending != NULL && !is_begin (pending) && !pending->local)
-    take_finished (pending, reply->durable);
+    handle_finished (pending, reply->durable);
 }
 
 guint
--- a/controller/settings.c
+++ b/controller/settings.c
@@ -8,16 +8,16 @@
     .fallback = (value), .help = (text), .argument = "TEXT"                                        \
   }
 
-#define ADDRESS(flag, field, may_lack, text)                                                       \
+#define ADDRESS(flag, field, is_optional, text)                                                    \
   {                                                                                                \
     .name = (flag), .type = CM_SETTING_ADDRESS, .offset = offsetof (CtSettings, field),            \
-    .optional = (may_lack), .help = (text), .argument = "IP:PORT"                                  \
+    .optional = (is_optional), .help = (text), .argument = "IP:PORT"                               \
   }
 
-#define NUMBER(flag, field, value, least, most, text)                                              \
+#define NUMBER(flag, field, value, min_value, max_value, text)                                     \
   {                                                                                                \
     .name = (flag), .type = CM_SETTING_INTEGER, .offset = offsetof (CtSettings, field),            \
-    .fallback = (value), .min = (least), .max = (most), .help = (text), .argument = "N"            \
+    .fallback = (value), .min = (min_value), .max = (max_value), .help = (text), .argument = "N"   \
   }
 
 static const CmSetting table[] = {
--- a/coord/apply.c
+++ b/coord/apply.c
@@ -5,34 +5,34 @@
 
 #include "coord/schema.h"
 
-#define SOURCE              "change"
-#define CHANGES_LIMIT       500
-#define OBJECT_BYTES_LIMIT  65536
-#define CONFIG_OBJECT_LIMIT 10000
+#define SOURCE             "change"
+#define MAX_CHANGES        500
+#define MAX_OBJECT_BYTES   65536
+#define MAX_CONFIG_OBJECTS 10000
 
 /* An object after the changes; fields NULL: removed. */
 typedef struct
 {
   json_t *fields;
   guint line; /* index of the last change to it */
-} Overlaid;
+} PlannedObject;
 
 typedef struct
 {
   const CoConfig *config;
   CmFindings *findings;
   CoApplyPlan *plan;
-  GHashTable *overlay; /* "KIND/NAME" -> `Overlaid` */
+  GHashTable *planned_objects; /* "KIND/NAME" -> `PlannedObject` */
   guint n_objects;
 } Planner;
 
 static void
-overlaid_free (gpointer data)
+planned_object_free (gpointer data)
 {
-  Overlaid *overlaid = data;
+  PlannedObject *planned_object = data;
 
-  json_decref (overlaid->fields);
-  g_free (overlaid);
+  json_decref (planned_object->fields);
+  g_free (planned_object);
 }
 
 static void
@@ -49,12 +49,12 @@
 current_fields (const Planner *planner, const char *kind, const char *name)
 {
   char *key = g_strconcat (kind, "/", name, NULL);
-  const Overlaid *overlaid = g_hash_table_lookup (planner->overlay, key);
+  const PlannedObject *planned_object = g_hash_table_lookup (planner->planned_objects, key);
   const CoObject *object;
 
   g_free (key);
-  if (overlaid != NULL)
-    return overlaid->fields;
+  if (planned_object != NULL)
+    return planned_object->fields;
   object = co_config_find (planner->config, kind, name);
   return object != NULL ? object->fields : NULL;
 }
@@ -79,19 +79,20 @@
 static void
 add_planned (Planner *planner, const char *kind, const char *name, json_t *fields, guint line)
 {
-  Overlaid *overlaid = g_new0 (Overlaid, 1);
+  PlannedObject *planned_object = g_new0 (PlannedObject, 1);
   CoPlannedChange planned = {
     .kind = g_strdup (kind),
     .name = g_strdup (name),
     .fields = fields != NULL ? json_dumps (fields, JSON_COMPACT | JSON_SORT_KEYS) : NULL,
   };
 
-  if (planned.fields != NULL && strlen (planned.fields) > OBJECT_BYTES_LIMIT)
+  if (planned.fields != NULL && strlen (planned.fields) > MAX_OBJECT_BYTES)
     cm_findings_add (planner->findings, SOURCE, line, 0, name, "is longer than %d bytes",
-                     OBJECT_BYTES_LIMIT);
-  overlaid->fields = fields;
-  overlaid->line = line;
-  g_hash_table_replace (planner->overlay, g_strconcat (kind, "/", name, NULL), overlaid);
+                     MAX_OBJECT_BYTES);
+  planned_object->fields = fields;
+  planned_object->line = line;
+  g_hash_table_replace (planner->planned_objects, g_strconcat (kind, "/", name, NULL),
+                        planned_object);
   g_array_append_val (planner->plan->changes, planned);
 }
 
@@ -148,13 +149,13 @@
 
 /* Index of the last change to an object, for findings; 0: the list doesn't change it. */
 static guint
-line_of (const Planner *planner, const char *kind, const char *name)
+find_change_line (const Planner *planner, const char *kind, const char *name)
 {
   char *key = g_strconcat (kind, "/", name, NULL);
-  const Overlaid *overlaid = g_hash_table_lookup (planner->overlay, key);
+  const PlannedObject *planned_object = g_hash_table_lookup (planner->planned_objects, key);
 
   g_free (key);
-  return overlaid != NULL ? overlaid->line : 0;
+  return planned_object != NULL ? planned_object->line : 0;
 }
 
 static void
@@ -165,14 +166,14 @@
                  const json_t *value)
 {
   const char *target = json_string_value (value);
-  guint line = line_of (planner, kind, name);
+  guint line = find_change_line (planner, kind, name);
   char *where;
 
   if (target == NULL || current_fields (planner, field->refers_to, target) != NULL)
     return;
   /* An unchanged object refers to nothing: the change that removed its target is at fault. */
   if (line == 0)
-    line = line_of (planner, field->refers_to, target);
+    line = find_change_line (planner, field->refers_to, target);
   where = g_strdup_printf ("%s %s.%s", kind, name, field->name);
   cm_findings_add (planner->findings, SOURCE, line, 0, where, "there is no %s \"%s\"",
                    field->refers_to, target);
@@ -203,8 +204,8 @@
     }
   if (strcmp (kind_name, "service") == 0 && json_object_get (fields, "model") == NULL
       && g_strcmp0 (json_string_value (json_object_get (fields, "kind")), "model") == 0)
-    cm_findings_add (planner->findings, SOURCE, line_of (planner, kind_name, name), 0, name,
-                     "a service of kind model needs a model");
+    cm_findings_add (planner->findings, SOURCE, find_change_line (planner, kind_name, name), 0,
+                     name, "a service of kind model needs a model");
 }
 
 static void
@@ -212,7 +213,7 @@
 {
   Planner *planner = data;
 
-  if (line_of (planner, object->kind, object->name) == 0)
+  if (find_change_line (planner, object->kind, object->name) == 0)
     check_object (planner, object->kind, object->name, object->fields);
 }
 
@@ -224,19 +225,19 @@
   gpointer value;
 
   co_config_foreach (planner->config, NULL, check_unchanged, planner);
-  g_hash_table_iter_init (&iter, planner->overlay);
+  g_hash_table_iter_init (&iter, planner->planned_objects);
   while (g_hash_table_iter_next (&iter, &key, &value))
     {
-      const Overlaid *overlaid = value;
+      const PlannedObject *planned_object = value;
       char **parts = g_strsplit (key, "/", 2);
 
-      if (overlaid->fields != NULL)
-        check_object (planner, parts[0], parts[1], overlaid->fields);
+      if (planned_object->fields != NULL)
+        check_object (planner, parts[0], parts[1], planned_object->fields);
       g_strfreev (parts);
     }
-  if (planner->n_objects > CONFIG_OBJECT_LIMIT)
+  if (planner->n_objects > MAX_CONFIG_OBJECTS)
     cm_findings_add (planner->findings, SOURCE, 1, 0, NULL, "more than %d objects",
-                     CONFIG_OBJECT_LIMIT);
+                     MAX_CONFIG_OBJECTS);
 }
 
 CoApplyPlan *
@@ -249,18 +250,19 @@
   planner.plan = g_new0 (CoApplyPlan, 1);
   planner.plan->changes = g_array_new (FALSE, FALSE, sizeof (CoPlannedChange));
   g_array_set_clear_func (planner.plan->changes, planned_clear);
-  planner.overlay = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, overlaid_free);
-  if (json_array_size (changes) == 0 || json_array_size (changes) > CHANGES_LIMIT)
+  planner.planned_objects =
+      g_hash_table_new_full (g_str_hash, g_str_equal, g_free, planned_object_free);
+  if (json_array_size (changes) == 0 || json_array_size (changes) > MAX_CHANGES)
     cm_findings_add (findings, SOURCE, 1, 0, "changes", "must be a list of 1 to %d changes",
-                     CHANGES_LIMIT);
+                     MAX_CHANGES);
   json_array_foreach (changes, index, change)
   {
-    if (index < CHANGES_LIMIT)
+    if (index < MAX_CHANGES)
       plan_change (&planner, change, (guint)index + 1);
   }
   if (cm_findings_count (findings) == 0)
     check_result (&planner);
-  g_hash_table_destroy (planner.overlay);
+  g_hash_table_destroy (planner.planned_objects);
   return planner.plan;
 }
 
--- a/coord/config.c
+++ b/coord/config.c
@@ -6,7 +6,7 @@
 #include "coord/schema.h"
 
 /* Changes retained for replicas that are slightly behind; others get a snapshot. */
-#define HISTORY_LIMIT 1024
+#define MAX_HISTORY_CHANGES 1024
 
 typedef struct
 {
@@ -142,10 +142,10 @@
 }
 
 static void
-remember_change (CoConfig *config, const Alderturn__ConfigChange *change)
+history_add (CoConfig *config, const Alderturn__ConfigChange *change)
 {
   g_queue_push_tail (&config->history, change_copy (change));
-  if (g_queue_get_length (&config->history) > HISTORY_LIMIT)
+  if (g_queue_get_length (&config->history) > MAX_HISTORY_CHANGES)
     {
       Alderturn__ConfigChange *oldest = g_queue_pop_head (&config->history);
 
@@ -172,7 +172,7 @@
       if (push->changes[i]->revision <= config->revision)
         continue;
       apply_change (config, push->changes[i]);
-      remember_change (config, push->changes[i]);
+      history_add (config, push->changes[i]);
     }
 }
 
--- a/coord/config_apply.c
+++ b/coord/config_apply.c
@@ -6,8 +6,8 @@
 #include "common/retry.h"
 #include "coord/config_rows.h"
 
-#define RETRY_FIRST (5 * KNL_MSEC)
-#define RETRY_LIMIT (250 * KNL_MSEC)
+#define RETRY_MIN_DELAY (5 * KNL_MSEC)
+#define RETRY_MAX_DELAY (250 * KNL_MSEC)
 
 struct CoConfigApply
 {
@@ -24,11 +24,11 @@
   KnlTimerId deadline;
   CmBackoff backoff;
   gboolean waits_for_pull;
-  guint64 revision;         /* the table's, as last read */
-  guint64 revision_version; /* version of its row */
-  gboolean sent;            /* a transaction is in flight */
-  gboolean open;            /* a transaction without an answer may still take effect */
-  guint64 open_version;     /* only while the revision's row has this version */
+  guint64 revision;           /* the table's, as last read */
+  guint64 revision_version;   /* version of its row */
+  gboolean in_flight;         /* a transaction is in flight */
+  gboolean unresolved;        /* a transaction without an answer may still take effect */
+  guint64 unresolved_version; /* only while the revision's row has this version */
   CoApplyPlan *plan;
   CmFindings findings;
 };
@@ -79,7 +79,7 @@
 co_config_apply_abandon (CoConfigApply *apply)
 {
   CoApplyResult result = {
-    .status = apply->sent || apply->open ? CO_APPLY_UNKNOWN : CO_APPLY_NOT_RUN,
+    .status = apply->in_flight || apply->unresolved ? CO_APPLY_UNKNOWN : CO_APPLY_NOT_RUN,
   };
 
   finish (apply, &result);
@@ -95,7 +95,7 @@
 }
 
 static void
-try_again (CoConfigApply *apply)
+schedule_retry (CoConfigApply *apply)
 {
   apply->retry = knl_timer_start (
       apply->host->kernel, cm_backoff_next (&apply->backoff, apply->host->kernel), begin, apply);
@@ -173,7 +173,7 @@
   CoConfigApply *apply = data;
 
   apply->call = 0;
-  apply->sent = FALSE;
+  apply->in_flight = FALSE;
   if (status == TB_OK)
     {
       apply_to_replica (apply);
@@ -188,10 +188,10 @@
    */
   if (status == TB_UNKNOWN)
     {
-      apply->open = TRUE;
-      apply->open_version = apply->revision_version;
+      apply->unresolved = TRUE;
+      apply->unresolved_version = apply->revision_version;
     }
-  try_again (apply);
+  schedule_retry (apply);
 }
 
 typedef struct
@@ -231,7 +231,7 @@
 
 /* A list that changes an object twice has two values for its row: only the last is written. */
 static gboolean
-written_later (const Rows *rows, guint index)
+is_overwritten (const Rows *rows, guint index)
 {
   for (guint i = index + 1; i < rows->keys->len; i++)
     {
@@ -256,12 +256,12 @@
 
   for (guint i = 0; i < rows.keys->len; i++)
     {
-      if (written_later (&rows, i))
+      if (is_overwritten (&rows, i))
         continue;
       writes[transaction.n_writes].key = g_ptr_array_index (rows.keys, i);
       writes[transaction.n_writes++].value = g_ptr_array_index (rows.values, i);
     }
-  apply->sent = TRUE;
+  apply->in_flight = TRUE;
   apply->call = tb_transact (apply->host->platform, &transaction, on_written, apply);
   g_ptr_array_free (rows.keys, TRUE);
   g_ptr_array_free (rows.values, TRUE);
@@ -274,7 +274,7 @@
   if (*co_config_revision (apply->host->replica) != apply->revision)
     {
       apply->waits_for_pull = TRUE;
-      apply->host->want_pull (apply->host->store, apply->revision);
+      apply->host->request_pull (apply->host->store, apply->revision);
       return;
     }
   if (apply->plan != NULL)
@@ -299,13 +299,13 @@
 
   apply->call = 0;
   if (status != TB_OK)
-    try_again (apply);
+    schedule_retry (apply);
   else if (row == NULL)
     {
       /* The revision was read before this row: a write that checked an older version of
          the revision's row can no longer take effect. */
-      if (apply->open_version != apply->revision_version)
-        apply->open = FALSE;
+      if (apply->unresolved_version != apply->revision_version)
+        apply->unresolved = FALSE;
       evaluate (apply);
     }
   else if (g_strcmp0 (digest, apply->digest) == 0)
@@ -328,7 +328,7 @@
   apply->call = 0;
   if (status != TB_OK)
     {
-      try_again (apply);
+      schedule_retry (apply);
       return;
     }
   apply->revision = n_rows > 0 ? co_row_revision (rows[0].value) : 0;
@@ -353,26 +353,26 @@
   if (!apply->waits_for_pull)
     return;
   apply->waits_for_pull = FALSE;
-  try_again (apply);
+  schedule_retry (apply);
 }
 
 CoConfigApply *
 co_config_apply_new (const CoConfigApplyHost *host,
-                     const CoApply *what,
+                     const CoApply *request,
                      CoApplyFunc done,
                      gpointer data)
 {
   CoConfigApply *apply = g_new0 (CoConfigApply, 1);
 
   apply->host = host;
-  apply->operation = g_strdup (what->operation);
-  apply->by = g_strdup (what->by);
-  apply->changes = json_incref (what->changes);
-  apply->digest = co_changes_digest (what->changes);
-  apply->dry_run = what->dry_run;
+  apply->operation = g_strdup (request->operation);
+  apply->by = g_strdup (request->by);
+  apply->changes = json_incref (request->changes);
+  apply->digest = co_changes_digest (request->changes);
+  apply->dry_run = request->dry_run;
   apply->done = done;
   apply->data = data;
-  apply->backoff = (CmBackoff){ .first = RETRY_FIRST, .limit = RETRY_LIMIT };
+  apply->backoff = (CmBackoff){ .first = RETRY_MIN_DELAY, .limit = RETRY_MAX_DELAY };
   cm_findings_init (&apply->findings);
   apply->deadline = knl_timer_start (host->kernel, host->limit, on_deadline, apply);
   begin (apply);
--- a/coord/config_compact.c
+++ b/coord/config_compact.c
@@ -6,7 +6,7 @@
 #include "coord/config_rows.h"
 #include "coord/shard.h"
 
-#define DUTY "config/history"
+#define SHARD_KEY "config/history"
 
 /* Larger than the maximum number of changes per operation, so that a page always contains the end
    of an operation. */
@@ -19,7 +19,7 @@
   KnlTimerId timer;
   TbCallId call;
   guint64 revision_version; /* of the revision's row, read at the replica's revision */
-  GPtrArray *doomed;        /* keys of the rows to delete */
+  GPtrArray *deletions;     /* keys of the rows to delete */
 };
 
 static void look (gpointer data);
@@ -30,8 +30,8 @@
   CoConfigCompact *compact = g_new0 (CoConfigCompact, 1);
 
   compact->options = *options;
-  compact->shard = co_shard_of (DUTY, co_leases_count (options->leases));
-  compact->doomed = g_ptr_array_new_with_free_func (g_free);
+  compact->shard = co_shard_of (SHARD_KEY, co_leases_count (options->leases));
+  compact->deletions = g_ptr_array_new_with_free_func (g_free);
   compact->timer = knl_timer_start (options->kernel, options->interval, look, compact);
   return compact;
 }
@@ -43,7 +43,7 @@
     return;
   tb_call_cancel (compact->options.platform, &compact->call);
   knl_timer_stop (compact->options.kernel, &compact->timer);
-  g_ptr_array_free (compact->doomed, TRUE);
+  g_ptr_array_free (compact->deletions, TRUE);
   g_free (compact);
 }
 
@@ -71,7 +71,7 @@
 
 /* Number of rows to delete: those beyond `keep`, and of each operation all rows or none. */
 static guint
-count_doomed (const CoConfigCompact *compact, const TbRow *rows, guint n_rows, gboolean more)
+count_expired (const CoConfigCompact *compact, const TbRow *rows, guint n_rows, gboolean more)
 {
   guint64 revision = *co_config_revision (compact->options.replica);
   guint n = 0;
@@ -86,20 +86,20 @@
 }
 
 static void
-doom_row (CoConfigCompact *compact, const TbRow *row)
+add_deletions (CoConfigCompact *compact, const TbRow *row)
 {
   Alderturn__ConfigChange *change = co_row_to_change (row);
   char *operation = operation_of (row);
   char *operation_key = co_operation_key (operation != NULL ? operation : "");
-  guint last = compact->doomed->len;
+  guint last = compact->deletions->len;
 
-  g_ptr_array_add (compact->doomed, g_strdup (row->key));
+  g_ptr_array_add (compact->deletions, g_strdup (row->key));
   /* The tombstone of a removed object, unless the object has been created again. */
   if (change->removed
       && co_config_find (compact->options.replica, change->kind, change->name) == NULL)
-    g_ptr_array_add (compact->doomed, co_object_key (change->kind, change->name));
-  if (last == 0 || strcmp (g_ptr_array_index (compact->doomed, last - 1), operation_key) != 0)
-    g_ptr_array_add (compact->doomed, g_strdup (operation_key));
+    g_ptr_array_add (compact->deletions, co_object_key (change->kind, change->name));
+  if (last == 0 || strcmp (g_ptr_array_index (compact->deletions, last - 1), operation_key) != 0)
+    g_ptr_array_add (compact->deletions, g_strdup (operation_key));
   g_free (operation_key);
   g_free (operation);
   alderturn__config_change__free_unpacked (change, NULL);
@@ -113,9 +113,9 @@
 
 /* The check of the revision's row ensures that the replica equals the table's state. */
 static void
-delete_doomed (CoConfigCompact *compact)
+send_deletions (CoConfigCompact *compact)
 {
-  TbWrite *writes = g_new0 (TbWrite, compact->doomed->len);
+  TbWrite *writes = g_new0 (TbWrite, compact->deletions->len);
   GHashTable *seen = g_hash_table_new (g_str_hash, g_str_equal);
   TbCheck checks[] = {
     { .key = CO_REVISION_ROW, .version = compact->revision_version },
@@ -125,10 +125,10 @@
                                 .n_checks = G_N_ELEMENTS (checks),
                                 .writes = writes };
 
-  for (guint i = 0; i < compact->doomed->len; i++)
+  for (guint i = 0; i < compact->deletions->len; i++)
     {
-      if (g_hash_table_add (seen, g_ptr_array_index (compact->doomed, i)))
-        writes[transaction.n_writes++].key = g_ptr_array_index (compact->doomed, i);
+      if (g_hash_table_add (seen, g_ptr_array_index (compact->deletions, i)))
+        writes[transaction.n_writes++].key = g_ptr_array_index (compact->deletions, i);
     }
   if (transaction.n_writes > 0 && co_lease_valid (compact->options.leases, compact->shard, NULL))
     compact->call = tb_transact (compact->options.platform, &transaction, on_deleted, compact);
@@ -140,16 +140,16 @@
 on_changes (TbStatus status, const TbRow *rows, guint n_rows, gboolean more, gpointer data)
 {
   CoConfigCompact *compact = data;
-  guint n_doomed;
+  guint n_expired;
 
   compact->call = 0;
   if (status != TB_OK)
     return;
-  n_doomed = count_doomed (compact, rows, n_rows, more);
-  g_ptr_array_set_size (compact->doomed, 0);
-  for (guint i = 0; i < n_doomed; i++)
-    doom_row (compact, &rows[i]);
-  delete_doomed (compact);
+  n_expired = count_expired (compact, rows, n_rows, more);
+  g_ptr_array_set_size (compact->deletions, 0);
+  for (guint i = 0; i < n_expired; i++)
+    add_deletions (compact, &rows[i]);
+  send_deletions (compact);
 }
 
 static void
--- a/coord/config_pull.c
+++ b/coord/config_pull.c
@@ -5,7 +5,7 @@
 #define PAGE_ROWS 200
 
 /* Maximum reads of a snapshot, which is read again if the configuration changed meanwhile. */
-#define SNAPSHOT_TRIES 5
+#define MAX_SNAPSHOT_TRIES 5
 
 struct CoConfigPull
 {
@@ -77,7 +77,7 @@
 }
 
 static void
-remember_last_key (CoConfigPull *pull, const TbRow *rows, guint n_rows)
+save_last_key (CoConfigPull *pull, const TbRow *rows, guint n_rows)
 {
   g_free (pull->after);
   pull->after = g_strdup (rows[n_rows - 1].key);
@@ -91,7 +91,7 @@
 
   pull->call = 0;
   /* Objects read while the revision changed may belong to different revisions: read them again. */
-  if (status == TB_OK && now != pull->revision && ++pull->tries < SNAPSHOT_TRIES)
+  if (status == TB_OK && now != pull->revision && ++pull->tries < MAX_SNAPSHOT_TRIES)
     {
       read_snapshot_start (pull);
       return;
@@ -123,7 +123,7 @@
     }
   if (more && n_rows > 0)
     {
-      remember_last_key (pull, rows, n_rows);
+      save_last_key (pull, rows, n_rows);
       read_snapshot_page (pull);
       return;
     }
@@ -194,7 +194,7 @@
       end (pull);
       return;
     }
-  remember_last_key (pull, rows, n_rows);
+  save_last_key (pull, rows, n_rows);
   read_changes_page (pull);
 }
 
--- a/coord/config_rows.c
+++ b/coord/config_rows.c
@@ -23,7 +23,7 @@
 }
 
 static char *
-dump (json_t *value)
+dump_and_unref (json_t *value)
 {
   char *text = json_dumps (value, JSON_COMPACT);
 
@@ -34,13 +34,14 @@
 char *
 co_revision_value (guint64 revision)
 {
-  return dump (json_pack ("{s:I}", "revision", (json_int_t)revision));
+  return dump_and_unref (json_pack ("{s:I}", "revision", (json_int_t)revision));
 }
 
 char *
 co_operation_value (guint64 revision, const char *digest)
 {
-  return dump (json_pack ("{s:I, s:s}", "revision", (json_int_t)revision, "digest", digest));
+  return dump_and_unref (
+      json_pack ("{s:I, s:s}", "revision", (json_int_t)revision, "digest", digest));
 }
 
 static json_t *
@@ -60,7 +61,7 @@
                  const char *operation,
                  const char *by)
 {
-  return dump (row_value (change, revision, operation, by));
+  return dump_and_unref (row_value (change, revision, operation, by));
 }
 
 char *
@@ -73,7 +74,7 @@
 
   json_object_set_new (value, "kind", json_string (change->kind));
   json_object_set_new (value, "name", json_string (change->name));
-  return dump (value);
+  return dump_and_unref (value);
 }
 
 guint64
--- a/coord/config_store.c
+++ b/coord/config_store.c
@@ -81,7 +81,7 @@
     cm_log (CM_LOG_WARNING, "configuration-table-behind", "i", "revision", (gint64)revision, "i",
             "have", (gint64)have);
   store->compared = TRUE;
-  co_config_store_heard (store, revision);
+  co_config_store_note_revision (store, revision);
   if (revision > have)
     co_config_pull_start (store->pull);
 }
@@ -97,11 +97,11 @@
 }
 
 static void
-on_pull_wanted (gpointer data, guint64 revision)
+on_pull_requested (gpointer data, guint64 revision)
 {
   CoConfigStore *store = data;
 
-  co_config_store_heard (store, revision);
+  co_config_store_note_revision (store, revision);
   co_config_pull_start (store->pull);
 }
 
@@ -124,7 +124,7 @@
     .platform = options->platform,
     .replica = options->replica,
     .limit = options->apply_limit,
-    .want_pull = on_pull_wanted,
+    .request_pull = on_pull_requested,
     .ended = on_apply_ended,
     .store = store,
   };
@@ -163,7 +163,7 @@
 }
 
 void
-co_config_store_heard (CoConfigStore *store, guint64 revision)
+co_config_store_note_revision (CoConfigStore *store, guint64 revision)
 {
   store->highest = MAX (store->highest, revision);
   update_ready (store);
--- a/coord/credit.c
+++ b/coord/credit.c
@@ -7,10 +7,10 @@
 #include "coord/request_id.h"
 
 /* After a takeover nothing is granted for TTL + TTL / this, as clocks may differ in speed. */
-#define TAKE_OVER_MARGIN_PART 4
+#define TAKEOVER_MARGIN_DIVISOR 4
 
 /* An entry that has sent no request for this many TTLs no longer takes part in the sharing. */
-#define SILENT_TTLS 2
+#define ENTRY_TIMEOUT_TTLS 2
 
 /* An entry that could not use its turn for a large request goes behind the others. */
 #define TURN_LIMIT (30 * KNL_SEC)
@@ -32,9 +32,9 @@
 }
 
 KnlTime
-co_credit_grants_last (const CoCreditOptions *options)
+co_credit_grant_lifetime (const CoCreditOptions *options)
 {
-  return options->ttl + options->ttl / TAKE_OVER_MARGIN_PART;
+  return options->ttl + options->ttl / TAKEOVER_MARGIN_DIVISOR;
 }
 
 CoCredit *
@@ -74,9 +74,9 @@
       account = g_new0 (CoCreditAccount, 1);
       account->name = g_strdup (name);
       account->grants = g_array_new (FALSE, FALSE, sizeof (CoCreditGrant));
-      account->seen = -1;
-      account->unclaimed_from = KNL_NEVER;
-      account->gone_from = KNL_NEVER;
+      account->last_seen_at = -1;
+      account->unclaimed_since = KNL_NEVER;
+      account->gone_since = KNL_NEVER;
       g_hash_table_insert (credit->accounts, account->name, account);
     }
   g_free (name);
@@ -84,7 +84,7 @@
 }
 
 static void
-drop_lapsed (CoCreditAccount *account, KnlTime now)
+remove_expired_grants (CoCreditAccount *account, KnlTime now)
 {
   while (account->grants->len > 0
          && g_array_index (account->grants, CoCreditGrant, 0).expires <= now)
@@ -94,17 +94,18 @@
 gboolean
 co_credit_is_live (const CoCredit *credit, const CoCreditAccount *account)
 {
-  return account->seen >= 0
-         && co_credit_now (credit) - account->seen < SILENT_TTLS * credit->options.ttl;
+  return account->last_seen_at >= 0
+         && co_credit_now (credit) - account->last_seen_at
+                < ENTRY_TIMEOUT_TTLS * credit->options.ttl;
 }
 
 /* What counts as granted to the account: it may be using any of its unexpired grants. */
 static void
-given_to (const CoCredit *credit, CoCreditAccount *account, guint64 *tokens, guint *slots)
+committed_to (const CoCredit *credit, CoCreditAccount *account, guint64 *tokens, guint *slots)
 {
   *tokens = account->running_tokens;
   *slots = account->running_slots;
-  drop_lapsed (account, co_credit_now (credit));
+  remove_expired_grants (account, co_credit_now (credit));
   for (guint i = 0; i < account->grants->len; i++)
     {
       const CoCreditGrant *grant = &g_array_index (account->grants, CoCreditGrant, i);
@@ -121,7 +122,7 @@
 }
 
 static void
-given_to_others (CoCredit *credit, const CoCreditAccount *except, guint64 *tokens, guint *slots)
+committed_to_others (CoCredit *credit, const CoCreditAccount *except, guint64 *tokens, guint *slots)
 {
   GHashTableIter iter;
   gpointer value;
@@ -136,7 +137,7 @@
 
       if (value == except)
         continue;
-      given_to (credit, value, &its_tokens, &its_slots);
+      committed_to (credit, value, &its_tokens, &its_slots);
       *tokens += its_tokens;
       *slots += its_slots;
     }
@@ -181,7 +182,7 @@
   credit->waiting = report->waiting;
   credit->prefill_backlog = report->prefill_backlog;
   credit->leaving = report->leaving;
-  credit->report_made = co_credit_now (credit) - report->age;
+  credit->report_made_at = co_credit_now (credit) - report->age;
   credit->foreign_tokens = 0;
   credit->foreign_slots = 0;
   g_hash_table_iter_init (&iter, credit->accounts);
@@ -196,7 +197,7 @@
   g_hash_table_iter_init (&iter, credit->accounts);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      drop_lapsed (value, co_credit_now (credit));
+      remove_expired_grants (value, co_credit_now (credit));
       if (account_is_empty (credit, value))
         g_hash_table_iter_remove (&iter);
     }
@@ -207,17 +208,17 @@
 {
   KnlTime now = co_credit_now (credit);
 
-  account->seen = now;
+  account->last_seen_at = now;
   account->claimed_tokens = tokens;
   account->claimed_slots = slots;
   if (tokens > 0 || slots > 0)
-    account->unclaimed_from = KNL_NEVER;
-  else if (account->unclaimed_from == KNL_NEVER)
-    account->unclaimed_from = now;
+    account->unclaimed_since = KNL_NEVER;
+  else if (account->unclaimed_since == KNL_NEVER)
+    account->unclaimed_since = now;
 }
 
 void
-co_credit_unclaimed (CoCredit *credit, const char *entry, guint64 incarnation)
+co_credit_note_unclaimed (CoCredit *credit, const char *entry, guint64 incarnation)
 {
   CoCreditAccount *account = co_credit_account (credit, entry, incarnation, FALSE);
 
@@ -265,7 +266,7 @@
  * entries with a large request queue, and the first in line may accumulate tokens.
  */
 static CoCreditAccount *
-find_turn (const CoCredit *credit)
+find_first_in_queue (const CoCredit *credit)
 {
   GHashTableIter iter;
   gpointer value;
@@ -278,8 +279,9 @@
 
       if (account->largest == 0 || !co_credit_is_live (credit, account))
         continue;
-      if (first == NULL || account->turn_since < first->turn_since
-          || (account->turn_since == first->turn_since && strcmp (account->name, first->name) < 0))
+      if (first == NULL || account->queued_since < first->queued_since
+          || (account->queued_since == first->queued_since
+              && strcmp (account->name, first->name) < 0))
         first = account;
     }
   return first;
@@ -291,30 +293,30 @@
   KnlTime now = co_credit_now (credit);
 
   if (account->largest == 0
-      || (now - account->turn_since > TURN_LIMIT && find_turn (credit) == account))
-    account->turn_since = now;
+      || (now - account->queued_since > TURN_LIMIT && find_first_in_queue (credit) == account))
+    account->queued_since = now;
   account->largest = largest;
 }
 
 /* Tokens that the account which is first in line should have. */
 static guint64
-turn_part (const CoCredit *credit, const CoCreditAccount *turn)
+first_in_queue_tokens (const CoCredit *credit, const CoCreditAccount *first_in_queue)
 {
-  return MIN (turn->claimed_tokens + turn->largest, credit->capacity_tokens);
+  return MIN (first_in_queue->claimed_tokens + first_in_queue->largest, credit->capacity_tokens);
 }
 
 /* Tokens that the account should have, regardless of what others still hold. */
 static guint64
-token_part (const CoCredit *credit, const CoCreditAccount *account, const GArray *wants)
+target_tokens (const CoCredit *credit, const CoCreditAccount *account, const GArray *wants)
 {
-  CoCreditAccount *turn = find_turn (credit);
+  CoCreditAccount *first_in_queue = find_first_in_queue (credit);
   guint64 left = credit->capacity_tokens;
 
-  if (turn == account)
-    return MAX (turn_part (credit, turn),
+  if (first_in_queue == account)
+    return MAX (first_in_queue_tokens (credit, first_in_queue),
                 co_fair_part (wants, account->wanted_tokens, left, credit->options.reserve));
-  if (turn != NULL)
-    left -= turn_part (credit, turn);
+  if (first_in_queue != NULL)
+    left -= first_in_queue_tokens (credit, first_in_queue);
   return co_fair_part (wants, account->wanted_tokens, left, credit->options.reserve);
 }
 
@@ -341,7 +343,7 @@
 static void
 fill_grant (const CoCredit *credit, guint64 tokens, guint slots, Alderturn__CreditGrant *grant)
 {
-  KnlTime age = co_credit_now (credit) - credit->report_made;
+  KnlTime age = co_credit_now (credit) - credit->report_made_at;
 
   grant->tokens = tokens;
   grant->slots = slots;
@@ -378,8 +380,8 @@
   if (!granted)
     goto out;
   collect_wants (credit, wants, slot_wants);
-  given_to_others (credit, account, &other_tokens, &other_slots);
-  tokens = token_part (credit, account, wants);
+  committed_to_others (credit, account, &other_tokens, &other_slots);
+  tokens = target_tokens (credit, account, wants);
   slots = co_fair_part (slot_wants, account->wanted_slots, credit->capacity_slots,
                         credit->options.reserve);
   tokens = MIN (tokens, credit->capacity_tokens - MIN (credit->capacity_tokens, other_tokens));
@@ -396,12 +398,12 @@
 }
 
 guint64
-co_credit_given (CoCredit *credit)
+co_credit_committed (CoCredit *credit)
 {
   guint64 tokens;
   guint slots;
 
-  given_to_others (credit, NULL, &tokens, &slots);
+  committed_to_others (credit, NULL, &tokens, &slots);
   return tokens;
 }
 
--- a/coord/credit_leaks.c
+++ b/coord/credit_leaks.c
@@ -3,10 +3,10 @@
 
 /* A request is a leak when, for this time, the engine has listed it and its entry has been replaced
    or has claimed nothing. */
-#define LEAK_AFTER (3 * KNL_SEC)
+#define LEAK_DELAY (3 * KNL_SEC)
 
 /* The same for an entry that is only missing: longer than most network partitions last. */
-#define MISSING_LEAK_AFTER (60 * KNL_SEC)
+#define MISSING_LEAK_DELAY (60 * KNL_SEC)
 
 void
 co_credit_note_listed (CoCredit *credit, const EpReport *report)
@@ -42,15 +42,16 @@
    * An entry that is cut off from the controllers, or while there are none, continues
    * its streams. If it were treated as dead at once, its streams would be cancelled.
    */
-  if (state == CO_ENTRY_HERE || (state == CO_ENTRY_MISSING && co_credit_is_live (credit, account)))
-    account->gone_from = KNL_NEVER;
-  else if (account->gone_from == KNL_NEVER)
-    account->gone_from = now;
-  if (account->gone_from != KNL_NEVER
-      && now - account->gone_from >= (state == CO_ENTRY_MISSING ? MISSING_LEAK_AFTER : LEAK_AFTER))
+  if (state == CO_ENTRY_PRESENT
+      || (state == CO_ENTRY_MISSING && co_credit_is_live (credit, account)))
+    account->gone_since = KNL_NEVER;
+  else if (account->gone_since == KNL_NEVER)
+    account->gone_since = now;
+  if (account->gone_since != KNL_NEVER
+      && now - account->gone_since >= (state == CO_ENTRY_MISSING ? MISSING_LEAK_DELAY : LEAK_DELAY))
     return TRUE;
-  return co_credit_is_live (credit, account) && account->unclaimed_from != KNL_NEVER
-         && now - account->unclaimed_from >= LEAK_AFTER;
+  return co_credit_is_live (credit, account) && account->unclaimed_since != KNL_NEVER
+         && now - account->unclaimed_since >= LEAK_DELAY;
 }
 
 GPtrArray *
@@ -72,7 +73,7 @@
         continue;
       account = co_credit_account (credit, entry, incarnation, TRUE);
       if (is_orphaned (credit, account, entry, incarnation, state_of, data)
-          && co_credit_now (credit) - *(const KnlTime *)value >= LEAK_AFTER)
+          && co_credit_now (credit) - *(const KnlTime *)value >= LEAK_DELAY)
         g_ptr_array_add (leaks, g_strdup (key));
       g_free (entry);
     }
--- a/coord/gossip.c
+++ b/coord/gossip.c
@@ -97,14 +97,14 @@
 void
 co_gossip_take (CoGossip *gossip, guint count, guint limit, CoGossipFunc func, gpointer data)
 {
-  GPtrArray *taken = g_ptr_array_new ();
+  GPtrArray *batch = g_ptr_array_new ();
   GSequenceIter *iter = g_sequence_get_begin_iter (gossip->items);
 
-  for (; taken->len < count && !g_sequence_iter_is_end (iter); iter = g_sequence_iter_next (iter))
-    g_ptr_array_add (taken, g_sequence_get (iter));
-  for (guint i = 0; i < taken->len; i++)
+  for (; batch->len < count && !g_sequence_iter_is_end (iter); iter = g_sequence_iter_next (iter))
+    g_ptr_array_add (batch, g_sequence_get (iter));
+  for (guint i = 0; i < batch->len; i++)
     {
-      Item *item = g_ptr_array_index (taken, i);
+      Item *item = g_ptr_array_index (batch, i);
 
       func (item->kind, item->name, data);
       item->sent++;
@@ -113,7 +113,7 @@
       else
         g_sequence_sort_changed (g_hash_table_lookup (gossip->index, item), compare, NULL);
     }
-  g_ptr_array_unref (taken);
+  g_ptr_array_unref (batch);
 }
 
 guint
--- a/coord/idem.c
+++ b/coord/idem.c
@@ -11,17 +11,17 @@
 
 /* Time limit for recording an attempt as not run, after its begin was refused with an unresolved
    write. */
-#define CLEANUP_LIMIT (60 * KNL_SEC)
+#define CLEANUP_TIMEOUT (60 * KNL_SEC)
 
 /* Requests that may be pending at once; further ones are refused. */
-#define OPS_LIMIT 20000
+#define MAX_PENDING_OPS 20000
 
-static void step (CoIdemKey *key);
+static void process_ops (CoIdemKey *key);
 
 static void
 op_free (CoIdemOp *op)
 {
-  co_idem_record_clear (&op->what);
+  co_idem_record_clear (&op->args);
   g_free (op);
 }
 
@@ -60,8 +60,8 @@
         reply.body.data = (guint8 *)g_bytes_get_data (key->record.body, &bytes);
       reply.body.len = bytes;
     }
-  if (op->begun != NULL)
-    op->begun (&reply, op->data);
+  if (op->on_begun != NULL)
+    op->on_begun (&reply, op->data);
 }
 
 /* Ends the key's first request. */
@@ -73,8 +73,8 @@
   key->idem->n_ops--;
   if (op->is_begin)
     reply_begin (key, op, verdict);
-  else if (op->finished != NULL)
-    op->finished (durable, op->data);
+  else if (op->on_finished != NULL)
+    op->on_finished (durable, op->data);
   op_free (op);
 }
 
@@ -94,23 +94,23 @@
  * so the attempt is recorded as not run.
  */
 static void
-record_refused (CoIdemKey *key, const CoIdemOp *refused)
+record_not_run (CoIdemKey *key, const CoIdemOp *refused)
 {
   CoIdemOp *op = g_new0 (CoIdemOp, 1);
 
-  op->what.state = ALDERTURN__IDEM_STATE__IDEM_STATE_NOT_RUN;
-  op->what.attempt = g_strdup (refused->what.attempt);
-  op->deadline = knl_kernel_now (key->idem->options.kernel) + CLEANUP_LIMIT;
+  op->args.state = ALDERTURN__IDEM_STATE__IDEM_STATE_NOT_RUN;
+  op->args.attempt = g_strdup (refused->args.attempt);
+  op->deadline = knl_kernel_now (key->idem->options.kernel) + CLEANUP_TIMEOUT;
   push_op (key, op);
 }
 
 static void
-give_up_op (CoIdemKey *key)
+fail_op (CoIdemKey *key)
 {
   const CoIdemOp *op = g_queue_peek_head (&key->ops);
 
-  if (op->is_begin && key->open && !key->gone)
-    record_refused (key, op);
+  if (op->is_begin && key->unresolved && !key->lease_lost)
+    record_not_run (key, op);
   end_op (key, ALDERTURN__IDEM_VERDICT__IDEM_VERDICT_REFUSED, FALSE);
 }
 
@@ -121,7 +121,7 @@
 
   key->retry = 0;
   key->busy = FALSE;
-  step (key);
+  process_ops (key);
 }
 
 static void
@@ -148,9 +148,9 @@
   if (n_rows > 0)
     co_idem_record_parse (rows[0].value, &key->record);
   key->known = TRUE;
-  key->read = FALSE;
+  key->must_read = FALSE;
   key->begun_at = knl_kernel_now (key->idem->options.kernel);
-  step (key);
+  process_ops (key);
 }
 
 static gboolean
@@ -168,9 +168,9 @@
 decide (const CoIdemKey *key, const CoIdemOp *op)
 {
   if (op->is_begin)
-    return co_idem_decide_begin (&key->record, op->what.attempt, op->what.digest,
+    return co_idem_decide_begin (&key->record, op->args.attempt, op->args.digest,
                                  is_abandoned (key));
-  return co_idem_decide_finish (&key->record, &op->what);
+  return co_idem_decide_finish (&key->record, &op->args);
 }
 
 static void
@@ -193,23 +193,23 @@
 
 /* Processes the key's requests until one has to wait. */
 static void
-step (CoIdemKey *key)
+process_ops (CoIdemKey *key)
 {
   CoIdem *idem = key->idem;
   const CoIdemOp *op;
 
-  while (!key->busy && !key->gone && (op = g_queue_peek_head (&key->ops)) != NULL)
+  while (!key->busy && !key->lease_lost && (op = g_queue_peek_head (&key->ops)) != NULL)
     {
       CoIdemDecision decision;
 
       if (knl_kernel_now (idem->options.kernel) >= op->deadline)
         {
-          give_up_op (key);
+          fail_op (key);
           continue;
         }
       /* Most keys are new: a begin is written without a read first, on condition that the row
          doesn't exist. */
-      if (!key->known && (key->read || !op->is_begin))
+      if (!key->known && (key->must_read || !op->is_begin))
         {
           key->busy = TRUE;
           key->call = tb_read (idem->options.platform, key->name, on_read, key);
@@ -217,21 +217,21 @@
         }
       decision = decide (key, op);
       if (decision.action == CO_IDEM_WRITE)
-        co_idem_want_write (key, decision.next);
+        co_idem_queue_write (key, decision.next);
       else
         end_op (key, decision.verdict, TRUE);
     }
-  if (!key->busy && !key->gone)
+  if (!key->busy && !key->lease_lost)
     become_idle (key);
 }
 
 static void
-drop_key (CoIdemKey *key)
+fail_key (CoIdemKey *key)
 {
   while (!g_queue_is_empty (&key->ops))
     {
-      key->gone = TRUE;
-      give_up_op (key);
+      key->lease_lost = TRUE;
+      fail_op (key);
     }
   co_idem_key_free (key);
 }
@@ -246,17 +246,17 @@
   key->next = (CoIdemRecord){ 0 };
   key->version = version;
   key->known = TRUE;
-  key->solo = FALSE;
-  key->open = FALSE;
+  key->write_alone = FALSE;
+  key->unresolved = FALSE;
 }
 
 void
 co_idem_key_written (CoIdemKey *key, TbStatus status, guint64 version)
 {
   key->busy = FALSE;
-  if (key->gone)
+  if (key->lease_lost)
     {
-      drop_key (key);
+      fail_key (key);
       return;
     }
   switch (status)
@@ -268,7 +268,7 @@
       retry_later (key);
       return;
     case TB_UNKNOWN:
-      key->open = TRUE;
+      key->unresolved = TRUE;
       G_GNUC_FALLTHROUGH;
     case TB_CONFLICT:
       /*
@@ -277,16 +277,16 @@
        * run twice or refuse it wrongly. So each key is read, then written alone.
        */
       key->known = FALSE;
-      key->read = TRUE;
-      key->solo = TRUE;
+      key->must_read = TRUE;
+      key->write_alone = TRUE;
       break;
     }
-  step (key);
+  process_ops (key);
 }
 
 /* Drops a shard's keys when its lease has changed: another holder may write their records. */
 static void
-on_lease (CoLeases *leases, guint shard, guint64 fence, gpointer data)
+on_lease_changed (CoLeases *leases, guint shard, guint64 fence, gpointer data)
 {
   CoIdem *idem = data;
   GHashTableIter iter;
@@ -307,9 +307,9 @@
 
       if (key->recent != NULL)
         g_queue_delete_link (&idem->recent, key->recent);
-      key->gone = TRUE;
+      key->lease_lost = TRUE;
       while (!g_queue_is_empty (&key->ops))
-        give_up_op (key);
+        fail_op (key);
       if (!key->busy || key->call != 0 || key->retry != 0)
         co_idem_key_free (key);
     }
@@ -325,7 +325,7 @@
   idem->keys = g_hash_table_new (g_str_hash, g_str_equal);
   g_queue_init (&idem->recent);
   g_queue_init (&idem->waiting);
-  co_leases_observe (options->leases, on_lease, idem);
+  co_leases_observe (options->leases, on_lease_changed, idem);
   return idem;
 }
 
@@ -364,7 +364,7 @@
   guint shard = co_shard_of (row, co_leases_count (idem->options.leases));
   CoIdemKey *key = NULL;
 
-  if (co_lease_valid (idem->options.leases, shard, NULL) && idem->n_ops < OPS_LIMIT)
+  if (co_lease_valid (idem->options.leases, shard, NULL) && idem->n_ops < MAX_PENDING_OPS)
     {
       key = g_hash_table_lookup (idem->keys, row);
       if (key == NULL)
@@ -398,14 +398,14 @@
     }
   op = g_new0 (CoIdemOp, 1);
   op->is_begin = TRUE;
-  op->what.attempt = g_strdup (begin->attempt);
-  op->what.digest = begin->digest;
+  op->args.attempt = g_strdup (begin->attempt);
+  op->args.digest = begin->digest;
   op->call = begin->call;
   op->deadline = knl_kernel_now (idem->options.kernel) + idem->options.begin_limit;
-  op->begun = done;
+  op->on_begun = done;
   op->data = data;
   push_op (key, op);
-  step (key);
+  process_ops (key);
 }
 
 void
@@ -425,17 +425,17 @@
       return;
     }
   op = g_new0 (CoIdemOp, 1);
-  op->what.state = finish->state;
-  op->what.attempt = g_strdup (finish->attempt);
-  op->what.status = keep ? finish->status : 0;
-  op->what.content_type = keep ? g_strdup (finish->content_type) : NULL;
-  op->what.body = keep ? g_bytes_new (finish->body.data, finish->body.len) : NULL;
+  op->args.state = finish->state;
+  op->args.attempt = g_strdup (finish->attempt);
+  op->args.status = keep ? finish->status : 0;
+  op->args.content_type = keep ? g_strdup (finish->content_type) : NULL;
+  op->args.body = keep ? g_bytes_new (finish->body.data, finish->body.len) : NULL;
   op->call = finish->call;
   op->deadline = knl_kernel_now (idem->options.kernel) + idem->options.finish_limit;
-  op->finished = done;
+  op->on_finished = done;
   op->data = data;
   push_op (key, op);
-  step (key);
+  process_ops (key);
 }
 
 void
--- a/coord/idem_batch.c
+++ b/coord/idem_batch.c
@@ -5,9 +5,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BATCH_KEYS    128
-#define BATCH_BYTES   ((gsize)512 * 1024)
-#define BATCHES_LIMIT 4
+#define MAX_BATCH_KEYS  128
+#define MAX_BATCH_BYTES ((gsize)512 * 1024)
+#define MAX_BATCHES     4
 
 typedef struct
 {
@@ -19,7 +19,7 @@
 static void flush_due (gpointer data);
 
 void
-co_idem_want_write (CoIdemKey *key, CoIdemRecord next)
+co_idem_queue_write (CoIdemKey *key, CoIdemRecord next)
 {
   CoIdem *idem = key->idem;
 
@@ -95,7 +95,7 @@
   g_free (writes);
 }
 
-/* Dequeues the next keys: one `solo` key, or as many others as fit into one transaction. */
+/* Dequeues the next keys: one `write_alone` key, or as many others as fit into one transaction. */
 static GPtrArray *
 take_batch (CoIdem *idem, GPtrArray *values)
 {
@@ -103,16 +103,16 @@
   gsize bytes = 0;
   gboolean alone = FALSE;
 
-  while (!alone && keys->len < BATCH_KEYS && bytes < BATCH_BYTES)
+  while (!alone && keys->len < MAX_BATCH_KEYS && bytes < MAX_BATCH_BYTES)
     {
       CoIdemKey *key = g_queue_peek_head (&idem->waiting);
 
-      if (key == NULL || (key->solo && keys->len > 0))
+      if (key == NULL || (key->write_alone && keys->len > 0))
         break;
       g_queue_pop_head (&idem->waiting);
-      alone = key->solo;
+      alone = key->write_alone;
       /* Checked just before sending: the process may have been paused since the request came. */
-      if (key->gone || !co_lease_valid (idem->options.leases, key->shard, NULL))
+      if (key->lease_lost || !co_lease_valid (idem->options.leases, key->shard, NULL))
         {
           co_idem_key_written (key, TB_UNAVAILABLE, 0);
           alone = FALSE;
@@ -131,7 +131,7 @@
   CoIdem *idem = data;
 
   idem->flush = 0;
-  while (!g_queue_is_empty (&idem->waiting) && g_list_length (idem->batches) < BATCHES_LIMIT)
+  while (!g_queue_is_empty (&idem->waiting) && g_list_length (idem->batches) < MAX_BATCHES)
     {
       GPtrArray *values = g_ptr_array_new_with_free_func (free);
       GPtrArray *keys = take_batch (idem, values);
@@ -154,7 +154,7 @@
     {
       CoIdemKey *key = g_ptr_array_index (batch->keys, i);
 
-      if (key->gone)
+      if (key->lease_lost)
         co_idem_key_free (key);
     }
   g_ptr_array_free (batch->keys, TRUE);
@@ -170,7 +170,7 @@
   g_list_free_full (idem->batches, batch_free);
   while ((key = g_queue_pop_head (&idem->waiting)) != NULL)
     {
-      if (key->gone)
+      if (key->lease_lost)
         co_idem_key_free (key);
     }
 }
--- a/coord/idem_step.c
+++ b/coord/idem_step.c
@@ -38,7 +38,7 @@
 }
 
 static CoIdemDecision
-give_up_record (const CoIdemRecord *record)
+mark_unknown (const CoIdemRecord *record)
 {
   CoIdemRecord next = co_idem_record_copy (record);
 
@@ -70,8 +70,7 @@
     case BEGUN:
       if (same)
         return reply (ALDERTURN__IDEM_VERDICT__IDEM_VERDICT_RUN);
-      return abandoned ? give_up_record (record)
-                       : reply (ALDERTURN__IDEM_VERDICT__IDEM_VERDICT_BUSY);
+      return abandoned ? mark_unknown (record) : reply (ALDERTURN__IDEM_VERDICT__IDEM_VERDICT_BUSY);
     case FAILED:
       return reply (ALDERTURN__IDEM_VERDICT__IDEM_VERDICT_FAILED);
     case DONE:
--- a/coord/idem_sweep.c
+++ b/coord/idem_sweep.c
@@ -2,17 +2,17 @@
 
 #include "coord/shard.h"
 
-#define EPOCH_ROW    "idem-epoch"
-#define ROW_PREFIX   "idem/"
-#define PAGE_ROWS    50
-#define READS_A_TIME 8 /* reads of the epoch's row per `epoch_time` */
+#define EPOCH_ROW       "idem-epoch"
+#define ROW_PREFIX      "idem/"
+#define PAGE_ROWS       50
+#define READS_PER_EPOCH 8 /* reads of the epoch's row per `epoch_time` */
 
 struct CoIdemSweep
 {
   CoIdemSweepOptions options;
   guint shard;
   KnlTimerId timer;
-  KnlTimerId page;
+  KnlTimerId page_timer;
   TbCallId epoch_call;
   TbCallId page_call;
   guint64 epoch;
@@ -20,7 +20,7 @@
   KnlTime unchanged_since; /* when this process first saw this epoch */
   gboolean sweeping;
   char *after; /* key of the last row read */
-  guint n_doomed;
+  guint n_deleting;
   guint64 deleted;
 };
 
@@ -46,7 +46,7 @@
   tb_call_cancel (sweep->options.platform, &sweep->epoch_call);
   tb_call_cancel (sweep->options.platform, &sweep->page_call);
   knl_timer_stop (sweep->options.kernel, &sweep->timer);
-  knl_timer_stop (sweep->options.kernel, &sweep->page);
+  knl_timer_stop (sweep->options.kernel, &sweep->page_timer);
   g_free (sweep->after);
   g_free (sweep);
 }
@@ -91,7 +91,7 @@
   if (sweep->sweeping || sweep->epoch <= sweep->options.keep)
     return;
   sweep->sweeping = TRUE;
-  sweep->page = knl_timer_start (sweep->options.kernel, 0, read_page, sweep);
+  sweep->page_timer = knl_timer_start (sweep->options.kernel, 0, read_page, sweep);
 }
 
 static void
@@ -123,8 +123,8 @@
 {
   CoIdemSweep *sweep = data;
 
-  sweep->timer = knl_timer_start (sweep->options.kernel, sweep->options.epoch_time / READS_A_TIME,
-                                  read_epoch, sweep);
+  sweep->timer = knl_timer_start (sweep->options.kernel,
+                                  sweep->options.epoch_time / READS_PER_EPOCH, read_epoch, sweep);
   if (sweep->epoch_call == 0)
     sweep->epoch_call = tb_read (sweep->options.platform, EPOCH_ROW, on_epoch, sweep);
 }
@@ -135,7 +135,7 @@
   if (sweep->after == NULL)
     sweep->sweeping = FALSE;
   else
-    sweep->page =
+    sweep->page_timer =
         knl_timer_start (sweep->options.kernel, sweep->options.page_pause, read_page, sweep);
 }
 
@@ -147,12 +147,12 @@
   sweep->page_call = 0;
   /* After a failure the page's rows are left to the next epoch's sweep. */
   if (status == TB_OK)
-    sweep->deleted += sweep->n_doomed;
+    sweep->deleted += sweep->n_deleting;
   next_page (sweep);
 }
 
 static gboolean
-is_old (const CoIdemSweep *sweep, const TbRow *row)
+is_expired (const CoIdemSweep *sweep, const TbRow *row)
 {
   CoIdemRecord record;
   gboolean old = co_idem_record_parse (row->value, &record)
@@ -176,12 +176,12 @@
     sweep->after = g_strdup (rows[n_rows - 1].key);
   for (guint i = 0; i < MIN (n_rows, PAGE_ROWS); i++)
     {
-      if (!is_old (sweep, &rows[i]))
+      if (!is_expired (sweep, &rows[i]))
         continue;
       checks[transaction.n_checks++] = (TbCheck){ rows[i].key, rows[i].version };
       writes[transaction.n_writes++] = (TbWrite){ rows[i].key, NULL };
     }
-  sweep->n_doomed = transaction.n_writes;
+  sweep->n_deleting = transaction.n_writes;
   if (transaction.n_writes > 0 && is_holder (sweep))
     sweep->page_call = tb_transact (sweep->options.platform, &transaction, on_deleted, sweep);
   else
@@ -193,7 +193,7 @@
 {
   CoIdemSweep *sweep = data;
 
-  sweep->page = 0;
+  sweep->page_timer = 0;
   if (!is_holder (sweep))
     {
       g_clear_pointer (&sweep->after, g_free);
--- a/coord/lease.c
+++ b/coord/lease.c
@@ -14,10 +14,10 @@
 #define RENEWALS_PER_LEASE 3
 
 /* A contender waits 1/8 longer than the lease's duration, for clocks that run at unequal rates. */
-#define MARGIN_PART 8
+#define MARGIN_DIVISOR 8
 
 /* Limit on the scans per second of all candidates together; each spaces out its own scans. */
-#define SCANS_PER_SECOND 50
+#define MAX_SCANS_PER_SECOND 50
 
 /* Per rank: a candidate for a shard waits so that those ranked before it try first. */
 #define RANK_DELAY (500 * KNL_MSEC)
@@ -26,20 +26,20 @@
  * A shard is handed over to its preferred candidate once the candidates have
  * not changed for the stable time; hand-overs are at least the interval apart.
  */
-#define STABLE_TIME       (5 * KNL_SEC)
+#define STABLE_PERIOD     (5 * KNL_SEC)
 #define HANDOVER_INTERVAL (500 * KNL_MSEC)
 
 /* A shard that returned after a hand-over is not handed over again for this time. */
-#define HANDOVER_PAUSE (60 * KNL_SEC)
+#define HANDOVER_HOLD_DOWN (60 * KNL_SEC)
 
 /*
  * A shard that was just acquired is not handed over for this time: its
  * preferred candidate may be shutting down.
  */
-#define GAINED_PAUSE (10 * KNL_SEC)
+#define GAINED_HOLD_DOWN (10 * KNL_SEC)
 
 /* Maximum wait for the table to accept the release of all leases. */
-#define RELEASE_LIMIT (2 * KNL_SEC)
+#define RELEASE_TIMEOUT (2 * KNL_SEC)
 
 CoLeases *
 co_leases_new (const CoLeasesOptions *options)
@@ -52,7 +52,7 @@
   leases->candidates = g_ptr_array_new_with_free_func (g_free);
   leases->written = g_array_new (FALSE, FALSE, sizeof (guint));
   leases->acquire_batch = options->n_shards;
-  leases->scanned = -1;
+  leases->scanned_at = -1;
   for (guint i = 0; i < options->n_shards; i++)
     {
       CoLeaseShard *shard = &leases->shards[i];
@@ -60,8 +60,8 @@
       shard->number = i;
       shard->key = g_strdup_printf (LEASE_PREFIX "%u", i);
       shard->fence_key = g_strdup_printf ("fence/%u", i);
-      shard->thing = g_strdup_printf ("shard/%u", i);
-      shard->free_since = KNL_NEVER;
+      shard->hash_key = g_strdup_printf ("shard/%u", i);
+      shard->acquirable_since = KNL_NEVER;
     }
   leases->tick = knl_timer_start (options->kernel, 0, co_leases_tick, leases);
   return leases;
@@ -81,7 +81,7 @@
     {
       g_free (leases->shards[i].key);
       g_free (leases->shards[i].fence_key);
-      g_free (leases->shards[i].thing);
+      g_free (leases->shards[i].hash_key);
       co_lease_row_clear (&leases->shards[i].row);
     }
   g_free (leases->shards);
@@ -100,7 +100,7 @@
 }
 
 static void
-tell_observers (CoLeases *leases, guint shard, guint64 fence)
+notify_observers (CoLeases *leases, guint shard, guint64 fence)
 {
   for (guint i = 0; i < leases->observers->len; i++)
     {
@@ -125,23 +125,24 @@
   if (leases->releasing)
     return;
   shard->held = TRUE;
-  shard->no_handover_until = MAX (shard->no_handover_until, co_leases_now (leases) + GAINED_PAUSE);
+  shard->no_handover_until =
+      MAX (shard->no_handover_until, co_leases_now (leases) + GAINED_HOLD_DOWN);
   shard->fence_version = version;
   shard->valid_until = shard->row.sent + leases->options.duration;
   cm_log (CM_LOG_INFO, "lease-gained", "i", "shard", (gint64)shard->number, "i", "fence",
           (gint64)shard->row.fence);
-  tell_observers (leases, shard->number, shard->row.fence);
+  notify_observers (leases, shard->number, shard->row.fence);
 }
 
 static void
-lose (CoLeases *leases, CoLeaseShard *shard, const char *why)
+lose (CoLeases *leases, CoLeaseShard *shard, const char *reason)
 {
   if (!shard->held)
     return;
   shard->held = FALSE;
   cm_log (CM_LOG_NOTICE, "lease-lost", "i", "shard", (gint64)shard->number, "i", "fence",
-          (gint64)shard->row.fence, "s", "reason", why);
-  tell_observers (leases, shard->number, 0);
+          (gint64)shard->row.fence, "s", "reason", reason);
+  notify_observers (leases, shard->number, 0);
 }
 
 static void
@@ -237,7 +238,7 @@
       view.holder = leases->options.name;
       view.remaining = shard->valid_until - now;
     }
-  else if (leases->scanned < 0 || now - leases->scanned > 2 * leases->options.duration)
+  else if (leases->scanned_at < 0 || now - leases->scanned_at > 2 * leases->options.duration)
     view.state = CO_LEASE_UNKNOWN;
   else if (shard->version != 0 && !shard->row.released && !co_lease_is_ours (leases, shard)
            && now - shard->unchanged_since < shard->row.duration)
@@ -268,26 +269,26 @@
 co_lease_rank (const CoLeases *leases, const CoLeaseShard *shard)
 {
   return co_rendezvous_rank ((const char *const *)leases->candidates->pdata,
-                             leases->candidates->len, leases->options.name, shard->thing);
+                             leases->candidates->len, leases->options.name, shard->hash_key);
 }
 
 /* Like co_lease_rank(), but not counting the holder that released the shard. */
 static guint
-rank_to_take (const CoLeases *leases, const CoLeaseShard *shard)
+acquire_rank (const CoLeases *leases, const CoLeaseShard *shard)
 {
   guint rank = co_lease_rank (leases, shard);
   const char *former = shard->version != 0 && shard->row.released ? shard->row.holder : NULL;
 
   if (rank == 0 || former == NULL
-      || co_rendezvous_weight (former, shard->thing)
-             <= co_rendezvous_weight (leases->options.name, shard->thing))
+      || co_rendezvous_weight (former, shard->hash_key)
+             <= co_rendezvous_weight (leases->options.name, shard->hash_key))
     return rank;
   return rank - 1;
 }
 
 /* TRUE if there is no row, it is released or ours, or it was observed unchanged for long enough. */
 static gboolean
-can_be_taken (const CoLeases *leases, const CoLeaseShard *shard)
+is_acquirable (const CoLeases *leases, const CoLeaseShard *shard)
 {
   if (shard->version == 0 || shard->row.released || co_lease_is_ours (leases, shard))
     return TRUE;
@@ -296,37 +297,38 @@
    * seen here at `unchanged_since`. With an earlier acquisition two holders
    * could act at the same time.
    */
-  return leases->scanned - shard->unchanged_since
-         >= shard->row.duration + shard->row.duration / MARGIN_PART;
+  return leases->scanned_at - shard->unchanged_since
+         >= shard->row.duration + shard->row.duration / MARGIN_DIVISOR;
 }
 
 static void
-update_free (CoLeases *leases, CoLeaseShard *shard)
+update_acquirable (CoLeases *leases, CoLeaseShard *shard)
 {
-  if (shard->held || !can_be_taken (leases, shard))
-    shard->free_since = KNL_NEVER;
-  else if (shard->free_since == KNL_NEVER)
-    shard->free_since = co_leases_now (leases);
+  if (shard->held || !is_acquirable (leases, shard))
+    shard->acquirable_since = KNL_NEVER;
+  else if (shard->acquirable_since == KNL_NEVER)
+    shard->acquirable_since = co_leases_now (leases);
 }
 
 gboolean
-co_lease_should_take (const CoLeases *leases, const CoLeaseShard *shard)
+co_lease_should_acquire (const CoLeases *leases, const CoLeaseShard *shard)
 {
-  if (leases->releasing || shard->held || shard->free_since == KNL_NEVER
+  if (leases->releasing || shard->held || shard->acquirable_since == KNL_NEVER
       || leases->candidates->len == 0)
     return FALSE;
-  return co_leases_now (leases) - shard->free_since >= rank_to_take (leases, shard) * RANK_DELAY;
+  return co_leases_now (leases) - shard->acquirable_since
+         >= acquire_rank (leases, shard) * RANK_DELAY;
 }
 
 static void
-update_all_free (CoLeases *leases)
+update_all_acquirable (CoLeases *leases)
 {
   for (guint i = 0; i < leases->options.n_shards; i++)
-    update_free (leases, &leases->shards[i]);
+    update_acquirable (leases, &leases->shards[i]);
 }
 
 static void
-see_row (CoLeases *leases, CoLeaseShard *shard, guint64 version, const char *value)
+apply_row (CoLeases *leases, CoLeaseShard *shard, guint64 version, const char *value)
 {
   CoLeaseRow row;
 
@@ -337,7 +339,7 @@
   shard->row = row;
   shard->version = version;
   shard->unchanged_since = co_leases_now (leases);
-  shard->free_since = KNL_NEVER;
+  shard->acquirable_since = KNL_NEVER;
   if (!co_lease_is_ours (leases, shard))
     {
       shard->acquiring = FALSE;
@@ -356,7 +358,7 @@
 }
 
 static guint64
-number_of_key (const char *key)
+shard_of_key (const char *key)
 {
   return g_ascii_strtoull (key + strlen (LEASE_PREFIX), NULL, 10);
 }
@@ -369,15 +371,15 @@
   leases->scan_call = 0;
   if (status != TB_OK)
     return;
-  leases->scanned = leases->scan_sent;
+  leases->scanned_at = leases->scan_sent_at;
   for (guint i = 0; i < n_rows; i++)
     {
-      guint64 number = number_of_key (rows[i].key);
+      guint64 number = shard_of_key (rows[i].key);
 
       if (number < leases->options.n_shards)
-        see_row (leases, &leases->shards[number], rows[i].version, rows[i].value);
+        apply_row (leases, &leases->shards[number], rows[i].version, rows[i].value);
     }
-  update_all_free (leases);
+  update_all_acquirable (leases);
   knl_timer_stop (leases->options.kernel, &leases->tick);
   leases->tick = knl_timer_start (leases->options.kernel, 0, co_leases_tick, leases);
 }
@@ -387,19 +389,20 @@
 {
   KnlTime interval = leases->options.duration / SCANS_PER_LEASE;
 
-  return MAX (interval, leases->candidates->len * (KNL_SEC / SCANS_PER_SECOND));
+  return MAX (interval, leases->candidates->len * (KNL_SEC / MAX_SCANS_PER_SECOND));
 }
 
 static void
 scan_if_due (CoLeases *leases)
 {
   KnlTime now = co_leases_now (leases);
-  gboolean wanted = leases->scanned < leases->blocked_until;
+  gboolean scan_needed = leases->scanned_at < leases->blocked_until;
 
   if (leases->scan_call != 0
-      || (!wanted && leases->scanned >= 0 && now - leases->scan_sent < scan_interval (leases)))
+      || (!scan_needed && leases->scanned_at >= 0
+          && now - leases->scan_sent_at < scan_interval (leases)))
     return;
-  leases->scan_sent = now;
+  leases->scan_sent_at = now;
   leases->scan_call = tb_scan (leases->options.platform, LEASE_PREFIX, NULL,
                                leases->options.n_shards, on_scanned, leases);
 }
@@ -426,7 +429,7 @@
 {
   KnlTime now = co_leases_now (leases);
 
-  if (now - leases->stable_since < STABLE_TIME || now - leases->handed_over < HANDOVER_INTERVAL
+  if (now - leases->stable_since < STABLE_PERIOD || now - leases->handed_over_at < HANDOVER_INTERVAL
       || leases->write_call != 0)
     return;
   for (guint i = 0; i < leases->options.n_shards; i++)
@@ -435,15 +438,15 @@
 
       if (!shard->held || now < shard->no_handover_until || co_lease_rank (leases, shard) == 0)
         continue;
-      leases->handed_over = now;
-      shard->no_handover_until = now + HANDOVER_PAUSE;
+      leases->handed_over_at = now;
+      shard->no_handover_until = now + HANDOVER_HOLD_DOWN;
       lose (leases, shard, "handed over");
       return;
     }
 }
 
 static gboolean
-any_row_ours (const CoLeases *leases)
+owns_any_row (const CoLeases *leases)
 {
   for (guint i = 0; i < leases->options.n_shards; i++)
     {
@@ -463,35 +466,36 @@
       leases->options.kernel, leases->options.duration / TICKS_PER_LEASE, co_leases_tick, leases);
   drop_lapsed (leases);
   scan_if_due (leases);
-  if (leases->scanned < 0)
+  if (leases->scanned_at < 0)
     return;
-  if (!leases->releasing && now - leases->renewed >= leases->options.duration / RENEWALS_PER_LEASE)
+  if (!leases->releasing
+      && now - leases->renewed_at >= leases->options.duration / RENEWALS_PER_LEASE)
     {
       co_leases_write (leases, CO_LEASE_RENEW);
       if (leases->write_call != 0)
-        leases->renewed = now;
+        leases->renewed_at = now;
     }
   hand_over_if_due (leases);
   co_leases_write (leases, CO_LEASE_RELEASE);
   co_leases_write (leases, CO_LEASE_ACQUIRE);
-  if (leases->releasing && leases->write_call == 0 && !any_row_ours (leases))
+  if (leases->releasing && leases->write_call == 0 && !owns_any_row (leases))
     finish_release (leases);
 }
 
 void
 co_leases_release (CoLeases *leases, void (*done) (gpointer data), gpointer data)
 {
-  gboolean any = leases->write_call != 0;
+  gboolean has_work = leases->write_call != 0;
 
   leases->releasing = TRUE;
   leases->released = done;
   leases->released_data = data;
   for (guint i = 0; i < leases->options.n_shards; i++)
     {
-      any = any || leases->shards[i].held;
+      has_work = has_work || leases->shards[i].held;
       lose (leases, &leases->shards[i], "released");
     }
-  leases->release_timer =
-      knl_timer_start (leases->options.kernel, any ? RELEASE_LIMIT : 0, finish_release, leases);
+  leases->release_timer = knl_timer_start (leases->options.kernel, has_work ? RELEASE_TIMEOUT : 0,
+                                           finish_release, leases);
   co_leases_write (leases, CO_LEASE_RELEASE);
 }
--- a/coord/lease_row.c
+++ b/coord/lease_row.c
@@ -3,7 +3,7 @@
 #include <jansson.h>
 
 static gint64
-number_of (const json_t *root, const char *name)
+integer_member (const json_t *root, const char *name)
 {
   return json_integer_value (json_object_get (root, name));
 }
@@ -16,10 +16,10 @@
 
   *row = (CoLeaseRow){
     .holder = g_strdup (holder),
-    .incarnation = (guint64)number_of (root, "incarnation"),
-    .fence = (guint64)number_of (root, "fence"),
-    .duration = number_of (root, "duration_us"),
-    .sent = number_of (root, "sent_us"),
+    .incarnation = (guint64)integer_member (root, "incarnation"),
+    .fence = (guint64)integer_member (root, "fence"),
+    .duration = integer_member (root, "duration_us"),
+    .sent = integer_member (root, "sent_us"),
     .released = json_is_true (json_object_get (root, "released")),
   };
   json_decref (root);
--- a/coord/lease_write.c
+++ b/coord/lease_write.c
@@ -17,13 +17,13 @@
     .incarnation = leases->options.incarnation,
     .fence = shard->row.fence + (kind == CO_LEASE_ACQUIRE ? 1 : 0),
     .duration = leases->options.duration,
-    .sent = leases->write_sent,
+    .sent = leases->write_sent_at,
     .released = kind == CO_LEASE_RELEASE,
   };
 }
 
 static void
-adopt_written (CoLeases *leases, CoLeaseShard *shard, guint64 version)
+apply_written (CoLeases *leases, CoLeaseShard *shard, guint64 version)
 {
   CoLeaseRow row = row_to_write (leases, shard, leases->write_kind);
 
@@ -32,7 +32,7 @@
   shard->row = row;
   shard->version = version;
   shard->unchanged_since = co_leases_now (leases);
-  shard->free_since = KNL_NEVER;
+  shard->acquirable_since = KNL_NEVER;
   if (leases->write_kind == CO_LEASE_RENEW && shard->held)
     shard->valid_until = row.sent + leases->options.duration;
   else if (leases->write_kind == CO_LEASE_ACQUIRE)
@@ -53,7 +53,7 @@
       CoLeaseShard *shard = &leases->shards[g_array_index (leases->written, guint, i)];
 
       if (status == TB_OK && version > shard->version)
-        adopt_written (leases, shard, version);
+        apply_written (leases, shard, version);
       else if (status != TB_UNKNOWN)
         shard->acquiring = FALSE;
     }
@@ -68,7 +68,7 @@
   if (status == TB_OK)
     leases->acquire_batch = MIN (leases->options.n_shards, leases->acquire_batch * 2);
   if (status != TB_OK && leases->write_kind == CO_LEASE_RENEW)
-    leases->renewed = 0;
+    leases->renewed_at = 0;
   if (status == TB_UNAVAILABLE)
     return;
   knl_timer_stop (leases->options.kernel, &leases->tick);
@@ -90,7 +90,7 @@
   TbTransaction transaction = { .checks = checks, .writes = writes };
 
   leases->write_kind = kind;
-  leases->write_sent = co_leases_now (leases);
+  leases->write_sent_at = co_leases_now (leases);
   for (guint i = 0; i < n; i++)
     {
       CoLeaseShard *shard = &leases->shards[g_array_index (leases->written, guint, i)];
@@ -113,23 +113,23 @@
 }
 
 static gboolean
-wants_release (const CoLeases *leases, const CoLeaseShard *shard)
+needs_release (const CoLeases *leases, const CoLeaseShard *shard)
 {
   return !shard->held && co_lease_is_ours (leases, shard)
          && (leases->releasing || co_lease_rank (leases, shard) > 0);
 }
 
 static gboolean
-wants (const CoLeases *leases, const CoLeaseShard *shard, CoLeaseWrite kind)
+needs_write (const CoLeases *leases, const CoLeaseShard *shard, CoLeaseWrite kind)
 {
   switch (kind)
     {
     case CO_LEASE_RENEW:
       return shard->held;
     case CO_LEASE_ACQUIRE:
-      return co_lease_should_take (leases, shard) && !wants_release (leases, shard);
+      return co_lease_should_acquire (leases, shard) && !needs_release (leases, shard);
     case CO_LEASE_RELEASE:
-      return wants_release (leases, shard);
+      return needs_release (leases, shard);
     }
   return FALSE;
 }
@@ -139,12 +139,12 @@
 {
   guint limit = kind == CO_LEASE_ACQUIRE ? leases->acquire_batch : leases->options.n_shards;
 
-  if (leases->write_call != 0 || leases->scanned < leases->blocked_until)
+  if (leases->write_call != 0 || leases->scanned_at < leases->blocked_until)
     return;
   g_array_set_size (leases->written, 0);
   for (guint i = 0; i < leases->options.n_shards && leases->written->len < limit; i++)
     {
-      if (wants (leases, &leases->shards[i], kind))
+      if (needs_write (leases, &leases->shards[i], kind))
         g_array_append_val (leases->written, i);
     }
   if (leases->written->len > 0)
--- a/coord/member.c
+++ b/coord/member.c
@@ -53,7 +53,7 @@
                 member->state == SUSPECT ? now_of (members) + suspicion_time (members) : KNL_NEVER);
   co_gossip_add (members->gossip, member->kind, member->name);
   if (member->state == LEAVING)
-    co_members_tell_soon (members);
+    co_members_announce_soon (members);
   for (guint i = 0; i < members->observers->len; i++)
     {
       Observer *observer = &g_array_index (members->observers, Observer, i);
@@ -114,7 +114,7 @@
 
 /** Handles a record of this member itself; a false one is refuted with a higher incarnation. */
 static void
-hear_of_self (CoMembers *members, const Alderturn__Member *update)
+handle_own_record (CoMembers *members, const Alderturn__Member *update)
 {
   const Alderturn__Member *self = &members->self->member;
 
@@ -129,7 +129,7 @@
 
 /** Handles a record of an entry linked to this controller, which refutes a false one for it. */
 static void
-hear_of_vouched (CoMembers *members, CoMemberRecord *record, const Alderturn__Member *update)
+handle_vouched_record (CoMembers *members, CoMemberRecord *record, const Alderturn__Member *update)
 {
   gboolean wrong = update->state == SUSPECT || update->state == DEAD;
 
@@ -144,7 +144,7 @@
 }
 
 void
-co_members_hear (CoMembers *members, const Alderturn__Member *update)
+co_members_handle_record (CoMembers *members, const Alderturn__Member *update)
 {
   CoMemberRecord *record;
 
@@ -153,15 +153,15 @@
     return;
   record = co_member_table_find (members->table, update->kind, update->name);
   if (record == members->self)
-    hear_of_self (members, update);
+    handle_own_record (members, update);
   else if (record != NULL && co_member_is_vouched (record))
-    hear_of_vouched (members, record, update);
+    handle_vouched_record (members, record, update);
   else
     co_members_merge (members, update);
 }
 
 void
-co_members_expire_suspects (CoMembers *members, KnlTime late)
+co_members_expire_suspects (CoMembers *members, KnlTime stall)
 {
   GPtrArray *suspects = g_ptr_array_copy (members->suspects, NULL, NULL);
   KnlTime now = now_of (members);
@@ -172,7 +172,7 @@
 
       if (record->deadline == KNL_NEVER)
         continue;
-      record->deadline += late;
+      record->deadline += stall;
       if (record->deadline <= now)
         co_members_set_state (members, record, record->member.incarnation, DEAD);
     }
@@ -276,25 +276,25 @@
 }
 
 static KnlTime
-time_or (KnlTime given, KnlTime fallback)
+time_or_default (KnlTime given, KnlTime fallback)
 {
   return given > 0 ? given : fallback;
 }
 
 static CoMemberTimes
-complete_times (const CoMemberTimes *given)
+times_with_defaults (const CoMemberTimes *given)
 {
   static const CoMemberTimes none = { 0 };
   const CoMemberTimes *times = given != NULL ? given : &none;
 
   return (CoMemberTimes){
-    .period = time_or (times->period, KNL_SEC),
-    .direct = time_or (times->direct, 400 * KNL_MSEC),
-    .suspicion = time_or (times->suspicion, 3 * KNL_SEC),
-    .dead_probe = time_or (times->dead_probe, 5 * KNL_SEC),
-    .tombstone = time_or (times->tombstone, 7200 * KNL_SEC),
-    .sync = time_or (times->sync, 30 * KNL_SEC),
-    .list_grace = time_or (times->list_grace, 15 * KNL_SEC),
+    .period = time_or_default (times->period, KNL_SEC),
+    .direct = time_or_default (times->direct, 400 * KNL_MSEC),
+    .suspicion = time_or_default (times->suspicion, 3 * KNL_SEC),
+    .dead_probe = time_or_default (times->dead_probe, 5 * KNL_SEC),
+    .tombstone = time_or_default (times->tombstone, 7200 * KNL_SEC),
+    .sync = time_or_default (times->sync, 30 * KNL_SEC),
+    .list_grace = time_or_default (times->list_grace, 15 * KNL_SEC),
   };
 }
 
@@ -311,7 +311,7 @@
   own.kind = CONTROLLER;
   own.state = LIVE;
   members->kernel = kernel;
-  members->times = complete_times (times);
+  members->times = times_with_defaults (times);
   members->send = send;
   members->data = data;
   members->table = co_member_table_new ();
@@ -321,8 +321,9 @@
   members->controllers = 1;
   members->self = co_members_merge (members, &own);
   members->next_sync = now_of (members) + members->times.sync;
-  members->prober = co_prober_new (kernel, own.name, members->times.period, members->times.direct,
-                                   members->times.dead_probe, &co_members_prober_owner, members);
+  members->prober =
+      co_prober_new (kernel, own.name, members->times.period, members->times.direct,
+                     members->times.dead_probe, &co_members_prober_callbacks, members);
   return members;
 }
 
--- a/coord/member_frames.c
+++ b/coord/member_frames.c
@@ -10,18 +10,18 @@
 #define GOSSIP_FACTOR 3
 
 /** Minimum time between two full syncs started by this member. */
-#define SYNC_PAUSE (10 * KNL_SEC)
+#define MIN_SYNC_INTERVAL (10 * KNL_SEC)
 
 /** The sync interval grows by this for each record, so that the cost over time stays constant. */
-#define SYNC_PER_RECORD (20 * KNL_MSEC)
+#define SYNC_INTERVAL_PER_RECORD (20 * KNL_MSEC)
 
 /** Periods between two removals of expired tombstones. */
 #define PURGE_PERIODS 64
 
 /** Urgent updates: recipients of one burst, delay to batch updates, minimum time between bursts. */
-#define URGENT_FANOUT 3
-#define URGENT_DELAY  (20 * KNL_MSEC)
-#define URGENT_PAUSE  (200 * KNL_MSEC)
+#define URGENT_FANOUT   3
+#define URGENT_DELAY    (20 * KNL_MSEC)
+#define URGENT_INTERVAL (200 * KNL_MSEC)
 
 #define LIVE    ALDERTURN__MEMBER_STATE__MEMBER_STATE_LIVE
 #define SUSPECT ALDERTURN__MEMBER_STATE__MEMBER_STATE_SUSPECT
@@ -131,7 +131,7 @@
   members->last_sync = now_of (members);
   members->next_sync =
       members->last_sync
-      + MAX (members->times.sync, SYNC_PER_RECORD * co_member_table_size (members->table));
+      + MAX (members->times.sync, SYNC_INTERVAL_PER_RECORD * co_member_table_size (members->table));
 }
 
 static gboolean
@@ -195,32 +195,33 @@
  * member.
  */
 void
-co_members_tell_soon (CoMembers *members)
+co_members_announce_soon (CoMembers *members)
 {
   KnlTime delay = URGENT_DELAY;
 
   if (members->urgent_timer != 0)
     return;
   if (members->last_urgent != 0)
-    delay = MAX (delay, members->last_urgent + URGENT_PAUSE - now_of (members));
+    delay = MAX (delay, members->last_urgent + URGENT_INTERVAL - now_of (members));
   members->urgent_timer = knl_timer_start (members->kernel, delay, tell_now, members);
 }
 
 /** Returns a random dead controller if `dead` is set, else a random one that is probed; or NULL. */
 static CoMemberRecord *
-choose (CoMembers *members, gboolean dead)
+choose_controller (CoMembers *members, gboolean dead)
 {
   GPtrArray *records = co_member_table_records (members->table);
   CoMemberRecord *chosen = NULL;
-  guint seen = 0;
+  guint n_eligible = 0;
 
   for (guint i = 0; i < records->len; i++)
     {
       CoMemberRecord *record = g_ptr_array_index (records, i);
-      gboolean fits = dead ? record->member.kind == CONTROLLER && record->member.state == DEAD
-                           : is_probed (members, record);
+      gboolean eligible = dead ? record->member.kind == CONTROLLER && record->member.state == DEAD
+                               : is_probed (members, record);
 
-      if (fits && g_rand_int_range (knl_kernel_rand (members->kernel), 0, (gint32)++seen) == 0)
+      if (eligible
+          && g_rand_int_range (knl_kernel_rand (members->kernel), 0, (gint32)++n_eligible) == 0)
         chosen = record;
     }
   g_ptr_array_unref (records);
@@ -230,7 +231,7 @@
 static const char *
 choose_dead (gpointer data)
 {
-  CoMemberRecord *record = choose (data, TRUE);
+  CoMemberRecord *record = choose_controller (data, TRUE);
 
   return record != NULL ? record->member.name : NULL;
 }
@@ -250,23 +251,23 @@
 }
 
 static void
-on_period (KnlTime late, gpointer data)
+on_period (KnlTime stall, gpointer data)
 {
   CoMembers *members = data;
   CoMemberRecord *other;
 
   members->controllers = co_members_count (members, CONTROLLER);
-  co_members_expire_suspects (members, late);
+  co_members_expire_suspects (members, stall);
   if (++members->periods % PURGE_PERIODS == 0)
     co_members_purge (members);
   if (now_of (members) < members->next_sync)
     return;
-  other = choose (members, FALSE);
+  other = choose_controller (members, FALSE);
   if (other != NULL)
     begin_sync (members, other);
 }
 
-const CoProberOwner co_members_prober_owner = {
+const CoProberCallbacks co_members_prober_callbacks = {
   .list = list_targets,
   .is_target = is_target,
   .choose_dead = choose_dead,
@@ -277,10 +278,10 @@
 };
 
 static void
-hear_all (CoMembers *members, Alderturn__Member *const *list, gsize count)
+handle_records (CoMembers *members, Alderturn__Member *const *list, gsize count)
 {
   for (gsize i = 0; i < count; i++)
-    co_members_hear (members, list[i]);
+    co_members_handle_record (members, list[i]);
 }
 
 static gboolean
@@ -298,16 +299,16 @@
  * was dead, therefore gets a full sync.
  */
 static void
-sync_when_met (CoMembers *members, const char *from, gboolean was_live)
+sync_if_new (CoMembers *members, const char *from, gboolean was_live)
 {
   CoMemberRecord *record = co_member_table_find (members->table, CONTROLLER, from);
   KnlTime now = now_of (members);
 
   if (was_live || record == NULL || record->member.state == DEAD)
     return;
-  if (members->last_sync != 0 && now - members->last_sync < SYNC_PAUSE)
+  if (members->last_sync != 0 && now - members->last_sync < MIN_SYNC_INTERVAL)
     {
-      members->next_sync = MIN (members->next_sync, members->last_sync + SYNC_PAUSE);
+      members->next_sync = MIN (members->next_sync, members->last_sync + MIN_SYNC_INTERVAL);
       return;
     }
   begin_sync (members, record);
@@ -318,9 +319,9 @@
 {
   gboolean was_live = is_known_live (members, from);
 
-  hear_all (members, probe->gossip, probe->n_gossip);
+  handle_records (members, probe->gossip, probe->n_gossip);
   co_prober_handle_probe (members->prober, from, probe);
-  sync_when_met (members, from, was_live);
+  sync_if_new (members, from, was_live);
 }
 
 void
@@ -328,9 +329,9 @@
 {
   gboolean was_live = is_known_live (members, from);
 
-  hear_all (members, ack->gossip, ack->n_gossip);
+  handle_records (members, ack->gossip, ack->n_gossip);
   co_prober_handle_ack (members->prober, from, ack);
-  sync_when_met (members, from, was_live);
+  sync_if_new (members, from, was_live);
 }
 
 static char *
@@ -341,7 +342,7 @@
 
 /** Returns the records that the sender of `update` lacks or has in an older version. */
 static GPtrArray *
-newer_than (CoMembers *members, const Alderturn__MemberUpdate *update)
+newer_records (CoMembers *members, const Alderturn__MemberUpdate *update)
 {
   GHashTable *theirs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   GPtrArray *records = co_member_table_records (members->table);
@@ -373,11 +374,11 @@
   CoMemberRecord *sender;
   GPtrArray *newer;
 
-  hear_all (members, update->members, update->n_members);
+  handle_records (members, update->members, update->n_members);
   sender = co_member_table_find (members->table, CONTROLLER, from);
   if (!update->full || sender == NULL)
     return;
-  newer = newer_than (members, update);
+  newer = newer_records (members, update);
   if (newer->len > 0)
     send_update (members, sender, newer, FALSE);
   g_ptr_array_unref (newer);
--- a/coord/member_known.c
+++ b/coord/member_known.c
@@ -83,7 +83,7 @@
   CoMemberRecord *record = co_member_table_find (members->table, listed->kind, listed->name);
   gboolean leaving = listed->state == LEAVING;
   Alderturn__Member update = *listed;
-  gboolean moved;
+  gboolean address_changed;
 
   update.state = leaving ? LEAVING : LIVE;
   update.incarnation = 0;
@@ -93,9 +93,9 @@
     }
   else
     {
-      moved = record->listed_address != NULL
-              && g_strcmp0 (record->listed_address, listed->address) != 0;
-      if ((record->member.state == DEAD && !record->listed) || moved
+      address_changed = record->listed_address != NULL
+                        && g_strcmp0 (record->listed_address, listed->address) != 0;
+      if ((record->member.state == DEAD && !record->listed) || address_changed
           || (record->listed_leaving && !leaving))
         {
           update.incarnation = record->member.incarnation + 1;
@@ -118,7 +118,7 @@
  * the grace period.
  */
 static void
-bury_missing (CoMembers *members)
+expire_unlisted (CoMembers *members)
 {
   GPtrArray *records = co_member_table_records (members->table);
   KnlTime now = knl_kernel_now (members->kernel);
@@ -145,7 +145,7 @@
       if (is_endpoint (list[i]->kind))
         seed_endpoint (members, list[i]);
       else if (co_member_table_find (members->table, list[i]->kind, list[i]->name) == NULL)
-        co_members_hear (members, list[i]);
+        co_members_handle_record (members, list[i]);
     }
-  bury_missing (members);
+  expire_unlisted (members);
 }
--- a/coord/overlay.c
+++ b/coord/overlay.c
@@ -16,10 +16,10 @@
 {
   const Candidate *x = a;
   const Candidate *y = b;
-  int zones = strcmp (x->zone, y->zone);
+  int zone_order = strcmp (x->zone, y->zone);
 
-  if (zones != 0)
-    return zones;
+  if (zone_order != 0)
+    return zone_order;
   if (x->weight != y->weight)
     return x->weight > y->weight ? -1 : 1;
   return x->index < y->index ? -1 : 1;
@@ -27,25 +27,28 @@
 
 /* In each pair, the controller with the lower name opens the only link. */
 static void
-choose_all (const CoPlace *self, const CoPlace *controllers, guint n_controllers, gboolean *keep)
+choose_full_mesh (const CoNode *self,
+                  const CoNode *controllers,
+                  guint n_controllers,
+                  gboolean *keep)
 {
   for (guint i = 0; i < n_controllers; i++)
     keep[i] = strcmp (self->name, controllers[i].name) < 0;
 }
 
 void
-co_overlay_choose (const CoPlace *self,
-                   const CoPlace *controllers,
+co_overlay_choose (const CoNode *self,
+                   const CoNode *controllers,
                    guint n_controllers,
                    gboolean *keep)
 {
   GArray *candidates;
   const char *zone = NULL;
-  guint taken = 0;
+  guint n_in_zone = 0;
 
-  if (n_controllers <= CO_OVERLAY_ALL)
+  if (n_controllers <= CO_OVERLAY_FULL_MESH_MAX)
     {
-      choose_all (self, controllers, n_controllers, keep);
+      choose_full_mesh (self, controllers, n_controllers, keep);
       return;
     }
   candidates = g_array_sized_new (FALSE, FALSE, sizeof (Candidate), n_controllers);
@@ -65,9 +68,10 @@
       const Candidate *candidate = &g_array_index (candidates, Candidate, i);
       gboolean own = strcmp (candidate->zone, self->zone) == 0;
 
-      taken = zone != NULL && strcmp (zone, candidate->zone) == 0 ? taken + 1 : 1;
+      n_in_zone = zone != NULL && strcmp (zone, candidate->zone) == 0 ? n_in_zone + 1 : 1;
       zone = candidate->zone;
-      keep[candidate->index] = taken <= (own ? CO_OVERLAY_OWN_ZONE : CO_OVERLAY_OTHER_ZONE);
+      keep[candidate->index] =
+          n_in_zone <= (own ? CO_OVERLAY_OWN_ZONE_LINKS : CO_OVERLAY_OTHER_ZONE_LINKS);
     }
   g_array_free (candidates, TRUE);
 }
--- a/coord/prober.c
+++ b/coord/prober.c
@@ -1,38 +1,38 @@
 #include "coord/prober.h"
 
 /** Number of controllers asked to probe a member that does not answer. */
-#define HELPERS 3
+#define INDIRECT_PROBES 3
 
 /** Maximum number of open probes on behalf of other controllers; a new one replaces the oldest. */
-#define RELAYS 64
+#define MAX_RELAYED_PROBES 64
 
 typedef struct
 {
-  guint64 sequence; /* of the probe sent to the target; 0: unused slot */
-  guint64 wanted;   /* of the requester's probe */
+  guint64 sequence;           /* of the probe sent to the target; 0: unused slot */
+  guint64 requester_sequence; /* of the requester's probe */
   char *requester;
   char *target;
-} Relay;
+} RelayedProbe;
 
 struct CoProber
 {
   KnlKernel *kernel;
   char *self;
   KnlTime period;
-  KnlTime direct;
-  KnlTime dead_probe;
-  const CoProberOwner *owner;
+  KnlTime direct_timeout;
+  KnlTime dead_probe_interval;
+  const CoProberCallbacks *callbacks;
   gpointer data;
   guint64 sequence;
-  GPtrArray *order; /* names still to probe in this round */
-  char *target;     /* currently probed, or NULL */
+  GPtrArray *remaining; /* names still to probe in this round */
+  char *target;         /* currently probed, or NULL */
   guint64 target_sequence;
-  KnlTime expected; /* when the next period should begin */
-  KnlTime next_dead;
+  KnlTime period_due; /* when the next period should begin */
+  KnlTime next_dead_probe;
   KnlTimerId period_timer;
   KnlTimerId direct_timer;
-  Relay relays[RELAYS];
-  guint next_relay;
+  RelayedProbe relayed_probes[MAX_RELAYED_PROBES];
+  guint next_relayed;
 };
 
 static void
@@ -55,7 +55,7 @@
   GPtrArray *names = g_ptr_array_new ();
   GPtrArray *copies = g_ptr_array_new_with_free_func (g_free);
 
-  prober->owner->list (names, prober->data);
+  prober->callbacks->list (names, prober->data);
   for (guint i = 0; i < names->len; i++)
     g_ptr_array_add (copies, g_strdup (g_ptr_array_index (names, i)));
   g_ptr_array_unref (names);
@@ -67,20 +67,20 @@
 static char *
 next_target (CoProber *prober)
 {
-  for (guint pass = 0; pass < 2; pass++)
+  for (guint round = 0; round < 2; round++)
     {
-      while (prober->order->len > 0)
+      while (prober->remaining->len > 0)
         {
-          char *name = g_ptr_array_steal_index (prober->order, prober->order->len - 1);
+          char *name = g_ptr_array_steal_index (prober->remaining, prober->remaining->len - 1);
 
-          if (prober->owner->is_target (name, prober->data))
+          if (prober->callbacks->is_target (name, prober->data))
             return name;
           g_free (name);
         }
-      if (pass == 0)
+      if (round == 0)
         {
-          g_ptr_array_unref (prober->order);
-          prober->order = list_targets (prober);
+          g_ptr_array_unref (prober->remaining);
+          prober->remaining = list_targets (prober);
         }
     }
   return NULL;
@@ -91,20 +91,20 @@
 {
   CoProber *prober = data;
   GPtrArray *names;
-  guint asked = 0;
+  guint n_sent = 0;
 
   prober->direct_timer = 0;
   if (prober->target == NULL)
     return;
   names = list_targets (prober);
-  for (guint i = 0; i < names->len && asked < HELPERS; i++)
+  for (guint i = 0; i < names->len && n_sent < INDIRECT_PROBES; i++)
     {
-      const char *helper = g_ptr_array_index (names, i);
+      const char *proxy = g_ptr_array_index (names, i);
 
-      if (g_str_equal (helper, prober->target))
+      if (g_str_equal (proxy, prober->target))
         continue;
-      prober->owner->send_probe (helper, prober->target_sequence, prober->target, prober->data);
-      asked++;
+      prober->callbacks->send_probe (proxy, prober->target_sequence, prober->target, prober->data);
+      n_sent++;
     }
   g_ptr_array_unref (names);
 }
@@ -116,8 +116,10 @@
   if (prober->target == NULL)
     return;
   prober->target_sequence = ++prober->sequence;
-  prober->direct_timer = knl_timer_start (prober->kernel, prober->direct, ask_helpers, prober);
-  prober->owner->send_probe (prober->target, prober->target_sequence, prober->target, prober->data);
+  prober->direct_timer =
+      knl_timer_start (prober->kernel, prober->direct_timeout, ask_helpers, prober);
+  prober->callbacks->send_probe (prober->target, prober->target_sequence, prober->target,
+                                 prober->data);
 }
 
 /*
@@ -132,12 +134,12 @@
   KnlTime now = knl_kernel_now (prober->kernel);
   const char *name;
 
-  if (now < prober->next_dead)
+  if (now < prober->next_dead_probe)
     return;
-  prober->next_dead = now + prober->dead_probe;
-  name = prober->owner->choose_dead (prober->data);
+  prober->next_dead_probe = now + prober->dead_probe_interval;
+  name = prober->callbacks->choose_dead (prober->data);
   if (name != NULL)
-    prober->owner->send_probe (name, ++prober->sequence, name, prober->data);
+    prober->callbacks->send_probe (name, ++prober->sequence, name, prober->data);
 }
 
 static void
@@ -157,52 +159,52 @@
 {
   CoProber *prober = data;
   KnlTime now = knl_kernel_now (prober->kernel);
-  KnlTime late = now - prober->expected;
+  KnlTime stall = now - prober->period_due;
   char *silent = NULL;
 
-  if (late < prober->period / 2)
+  if (stall < prober->period / 2)
     {
-      late = 0;
+      stall = 0;
       silent = g_strdup (prober->target);
     }
   end_probe (prober);
-  prober->expected = now + prober->period;
+  prober->period_due = now + prober->period;
   prober->period_timer = knl_timer_start (prober->kernel, prober->period, on_period, prober);
   if (silent != NULL)
-    prober->owner->unanswered (silent, prober->data);
+    prober->callbacks->unanswered (silent, prober->data);
   g_free (silent);
-  prober->owner->period (late, prober->data);
+  prober->callbacks->period (stall, prober->data);
   probe_next (prober);
   probe_dead (prober);
 }
 
 static void
-relay_clear (Relay *relay)
+relayed_probe_clear (RelayedProbe *relayed)
 {
-  g_free (relay->requester);
-  g_free (relay->target);
-  *relay = (Relay){ 0 };
+  g_free (relayed->requester);
+  g_free (relayed->target);
+  *relayed = (RelayedProbe){ 0 };
 }
 
 static void
 relay_probe (CoProber *prober, const char *from, const Alderturn__Probe *probe)
 {
-  Relay *relay = &prober->relays[prober->next_relay];
+  RelayedProbe *relayed = &prober->relayed_probes[prober->next_relayed];
 
-  prober->next_relay = (prober->next_relay + 1) % RELAYS;
-  relay_clear (relay);
-  *relay = (Relay){ .sequence = ++prober->sequence,
-                    .wanted = probe->sequence,
-                    .requester = g_strdup (from),
-                    .target = g_strdup (probe->target) };
-  prober->owner->send_probe (relay->target, relay->sequence, relay->target, prober->data);
+  prober->next_relayed = (prober->next_relayed + 1) % MAX_RELAYED_PROBES;
+  relayed_probe_clear (relayed);
+  *relayed = (RelayedProbe){ .sequence = ++prober->sequence,
+                             .requester_sequence = probe->sequence,
+                             .requester = g_strdup (from),
+                             .target = g_strdup (probe->target) };
+  prober->callbacks->send_probe (relayed->target, relayed->sequence, relayed->target, prober->data);
 }
 
 void
 co_prober_handle_probe (CoProber *prober, const char *from, const Alderturn__Probe *probe)
 {
   if (probe->target[0] == '\0' || g_str_equal (probe->target, prober->self))
-    prober->owner->send_ack (from, probe->sequence, prober->self, prober->data);
+    prober->callbacks->send_ack (from, probe->sequence, prober->self, prober->data);
   else
     relay_probe (prober, from, probe);
 }
@@ -213,15 +215,16 @@
   if (prober->target != NULL && ack->sequence == prober->target_sequence
       && g_str_equal (ack->target, prober->target))
     end_probe (prober);
-  for (guint i = 0; i < RELAYS; i++)
+  for (guint i = 0; i < MAX_RELAYED_PROBES; i++)
     {
-      Relay *relay = &prober->relays[i];
+      RelayedProbe *relayed = &prober->relayed_probes[i];
 
-      if (relay->sequence == 0 || relay->sequence != ack->sequence
-          || !g_str_equal (relay->target, ack->target) || !g_str_equal (relay->target, from))
+      if (relayed->sequence == 0 || relayed->sequence != ack->sequence
+          || !g_str_equal (relayed->target, ack->target) || !g_str_equal (relayed->target, from))
         continue;
-      prober->owner->send_ack (relay->requester, relay->wanted, relay->target, prober->data);
-      relay_clear (relay);
+      prober->callbacks->send_ack (relayed->requester, relayed->requester_sequence, relayed->target,
+                                   prober->data);
+      relayed_probe_clear (relayed);
     }
 }
 
@@ -229,9 +232,9 @@
 co_prober_new (KnlKernel *kernel,
                const char *self,
                KnlTime period,
-               KnlTime direct,
-               KnlTime dead_probe,
-               const CoProberOwner *owner,
+               KnlTime direct_timeout,
+               KnlTime dead_probe_interval,
+               const CoProberCallbacks *callbacks,
                gpointer data)
 {
   CoProber *prober = g_new0 (CoProber, 1);
@@ -240,13 +243,13 @@
   prober->kernel = kernel;
   prober->self = g_strdup (self);
   prober->period = period;
-  prober->direct = direct;
-  prober->dead_probe = dead_probe;
-  prober->owner = owner;
+  prober->direct_timeout = direct_timeout;
+  prober->dead_probe_interval = dead_probe_interval;
+  prober->callbacks = callbacks;
   prober->data = data;
-  prober->order = g_ptr_array_new_with_free_func (g_free);
-  prober->expected = knl_kernel_now (kernel) + first;
-  prober->next_dead = prober->expected + dead_probe;
+  prober->remaining = g_ptr_array_new_with_free_func (g_free);
+  prober->period_due = knl_kernel_now (kernel) + first;
+  prober->next_dead_probe = prober->period_due + dead_probe_interval;
   prober->period_timer = knl_timer_start (kernel, first, on_period, prober);
   return prober;
 }
@@ -256,9 +259,9 @@
 {
   end_probe (prober);
   knl_timer_stop (prober->kernel, &prober->period_timer);
-  for (guint i = 0; i < RELAYS; i++)
-    relay_clear (&prober->relays[i]);
-  g_ptr_array_unref (prober->order);
+  for (guint i = 0; i < MAX_RELAYED_PROBES; i++)
+    relayed_probe_clear (&prober->relayed_probes[i]);
+  g_ptr_array_unref (prober->remaining);
   g_free (prober->self);
   g_free (prober);
 }
--- a/coord/schema.c
+++ b/coord/schema.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#define NAME_LIMIT 63
+#define MAX_NAME_LENGTH 63
 
 static const char *const service_kinds[] = { "model", "plain", NULL };
 static const char *const instance_states[] = { "serving", "draining", NULL };
@@ -280,7 +280,7 @@
 {
   gsize length = strlen (name);
 
-  if (length == 0 || length > NAME_LIMIT || !g_ascii_isalnum (name[0]))
+  if (length == 0 || length > MAX_NAME_LENGTH || !g_ascii_isalnum (name[0]))
     return FALSE;
   for (gsize i = 0; i < length; i++)
     {
--- a/coord/share.c
+++ b/coord/share.c
@@ -3,15 +3,15 @@
 #include <math.h>
 
 /* An entry that has not reported for this time is no longer counted. */
-#define SILENT_AFTER (30 * KNL_SEC)
+#define ENTRY_TIMEOUT (30 * KNL_SEC)
 
 /* Tokens served and waiting for one workspace at one entry. */
 typedef struct
 {
-  double served;   /* tokens, decayed up to `at` */
+  double served;   /* tokens, decayed up to `updated_at` */
   guint64 waiting; /* tokens */
-  KnlTime at;
-} Use;
+  KnlTime updated_at;
+} Usage;
 
 struct CoShares
 {
@@ -42,59 +42,59 @@
 }
 
 static double
-decayed (const CoShares *shares, const Use *use)
+decayed (const CoShares *shares, const Usage *usage)
 {
-  KnlTime age = knl_kernel_now (shares->kernel) - use->at;
+  KnlTime age = knl_kernel_now (shares->kernel) - usage->updated_at;
 
-  return use->served * exp2 (-(double)age / (double)shares->half_life);
+  return usage->served * exp2 (-(double)age / (double)shares->half_life);
 }
 
-static Use *
-find_use (CoShares *shares, const char *workspace, const char *entry, guint64 incarnation)
+static Usage *
+find_usage (CoShares *shares, const char *workspace, const char *entry, guint64 incarnation)
 {
-  GHashTable *uses = g_hash_table_lookup (shares->workspaces, workspace);
+  GHashTable *usages = g_hash_table_lookup (shares->workspaces, workspace);
   char *name = g_strdup_printf ("%s~%" G_GUINT64_FORMAT, entry, incarnation);
-  Use *use;
+  Usage *usage;
 
-  if (uses == NULL)
+  if (usages == NULL)
     {
-      uses = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-      g_hash_table_insert (shares->workspaces, g_strdup (workspace), uses);
+      usages = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+      g_hash_table_insert (shares->workspaces, g_strdup (workspace), usages);
     }
-  use = g_hash_table_lookup (uses, name);
-  if (use != NULL)
+  usage = g_hash_table_lookup (usages, name);
+  if (usage != NULL)
     {
       g_free (name);
-      return use;
+      return usage;
     }
-  use = g_new0 (Use, 1);
-  use->at = knl_kernel_now (shares->kernel);
-  g_hash_table_insert (uses, name, use);
-  return use;
+  usage = g_new0 (Usage, 1);
+  usage->updated_at = knl_kernel_now (shares->kernel);
+  g_hash_table_insert (usages, name, usage);
+  return usage;
 }
 
 /* Sums up the workspace's use over all entries and removes those that no longer report. */
 static void
-sum_up (CoShares *shares, const char *workspace, double *served, double *demand)
+sum_usages (CoShares *shares, const char *workspace, double *served, double *demand)
 {
-  GHashTable *uses = g_hash_table_lookup (shares->workspaces, workspace);
+  GHashTable *usages = g_hash_table_lookup (shares->workspaces, workspace);
   GHashTableIter iter;
   gpointer value;
 
   *served = 0;
   *demand = 0;
-  g_hash_table_iter_init (&iter, uses);
+  g_hash_table_iter_init (&iter, usages);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const Use *use = value;
+      const Usage *usage = value;
 
-      if (knl_kernel_now (shares->kernel) - use->at > SILENT_AFTER)
+      if (knl_kernel_now (shares->kernel) - usage->updated_at > ENTRY_TIMEOUT)
         {
           g_hash_table_iter_remove (&iter);
           continue;
         }
-      *served += decayed (shares, use);
-      *demand += decayed (shares, use) + (double)use->waiting;
+      *served += decayed (shares, usage);
+      *demand += decayed (shares, usage) + (double)usage->waiting;
     }
 }
 
@@ -105,16 +105,16 @@
                   const Alderturn__ShareReport__Demand *demand,
                   Alderturn__ShareUpdate__Share *share)
 {
-  Use *use = find_use (shares, demand->workspace, entry, incarnation);
+  Usage *usage = find_usage (shares, demand->workspace, entry, incarnation);
   double all_served;
   double all_demand;
   double own;
 
-  use->served = decayed (shares, use) + (double)demand->served_tokens;
-  use->at = knl_kernel_now (shares->kernel);
-  use->waiting = demand->waiting_tokens;
-  own = use->served + (double)use->waiting;
-  sum_up (shares, demand->workspace, &all_served, &all_demand);
+  usage->served = decayed (shares, usage) + (double)demand->served_tokens;
+  usage->updated_at = knl_kernel_now (shares->kernel);
+  usage->waiting = demand->waiting_tokens;
+  own = usage->served + (double)usage->waiting;
+  sum_usages (shares, demand->workspace, &all_served, &all_demand);
   share->served_tokens = (guint64)all_served;
   share->fraction = all_demand > 0 ? own / all_demand : 1;
 }
--- a/coord/subset.c
+++ b/coord/subset.c
@@ -4,7 +4,7 @@
 #include <xxhash.h>
 
 /** One in this many of an entry's engines is in another zone. */
-#define SPARE_PART 4
+#define SPARE_DIVISOR 4
 
 /* One zone: its number of entries and engines, and how many entries each of its engines accepts. */
 typedef struct
@@ -21,7 +21,7 @@
   const char *name;
   const Zone *zone;
   guint64 hash;
-} Place;
+} Node;
 
 static Zone *
 zone_find (GArray *zones, const char *name)
@@ -40,7 +40,7 @@
 }
 
 static guint
-ratio_up (guint64 wanted, guint64 entries, guint64 engines)
+divide_round_up (guint64 wanted, guint64 entries, guint64 engines)
 {
   return engines == 0 ? 0 : (guint)((wanted * entries + engines - 1) / engines);
 }
@@ -51,10 +51,10 @@
  * local in every zone.
  */
 static void
-share_out (GArray *zones, guint size)
+compute_quotas (GArray *zones, guint size)
 {
-  guint spare = size / SPARE_PART;
-  guint homeless = 0;
+  guint spare = size / SPARE_DIVISOR;
+  guint entries_without_engines = 0;
   guint entries = 0;
   guint engines = 0;
 
@@ -64,22 +64,22 @@
 
       entries += zone->entries;
       engines += zone->engines;
-      homeless += zone->engines == 0 ? zone->entries : 0;
+      entries_without_engines += zone->engines == 0 ? zone->entries : 0;
     }
   for (guint i = 0; i < zones->len; i++)
     {
       Zone *zone = &g_array_index (zones, Zone, i);
-      guint others = entries - zone->entries - homeless;
+      guint others = entries - zone->entries - entries_without_engines;
 
-      zone->home = ratio_up (size - spare, zone->entries, zone->engines)
-                   + ratio_up (size, homeless, engines);
-      zone->spare = ratio_up (spare, others, MAX (engines - engines / zones->len, 1));
+      zone->home = divide_round_up (size - spare, zone->entries, zone->engines)
+                   + divide_round_up (size, entries_without_engines, engines);
+      zone->spare = divide_round_up (spare, others, MAX (engines - engines / zones->len, 1));
     }
 }
 
 /** Weight of an entry for an engine: MurmurHash3's finalizer applied to both hashes. */
 static guint64
-weight (const Place *entry, const Place *engine)
+weight (const Node *entry, const Node *engine)
 {
   guint64 x = entry->hash ^ (engine->hash * 0x9e3779b97f4a7c15ULL);
 
@@ -91,7 +91,7 @@
 }
 
 static gboolean
-is_home (const Place *entry, const Place *engine)
+is_home (const Node *entry, const Node *engine)
 {
   return entry->zone == engine->zone || entry->zone->engines == 0;
 }
@@ -101,7 +101,7 @@
  * weights, separately among local entries and those of other zones.
  */
 static gboolean
-engine_takes (const Place *engine, const Place *self, const Place *entries, guint n_entries)
+engine_accepts (const Node *engine, const Node *self, const Node *entries, guint n_entries)
 {
   gboolean home = is_home (self, engine);
   guint wanted = home ? engine->zone->home : engine->zone->spare;
@@ -116,22 +116,22 @@
   return better < wanted;
 }
 
-static Place *
-places_new (const CoPlace *list, guint count, GArray *zones)
+static Node *
+nodes_new (const CoNode *list, guint count, GArray *zones)
 {
-  Place *places = g_new0 (Place, count + 1);
+  Node *nodes = g_new0 (Node, count + 1);
 
   for (guint i = 0; i < count; i++)
     {
-      places[i].name = list[i].name;
-      places[i].hash = XXH3_64bits (list[i].name, strlen (list[i].name));
-      places[i].zone = zone_find (zones, list[i].zone);
+      nodes[i].name = list[i].name;
+      nodes[i].hash = XXH3_64bits (list[i].name, strlen (list[i].name));
+      nodes[i].zone = zone_find (zones, list[i].zone);
     }
-  return places;
+  return nodes;
 }
 
 static gboolean
-contains (const CoPlace *entries, guint n_entries, const char *name)
+contains (const CoNode *entries, guint n_entries, const char *name)
 {
   for (guint i = 0; i < n_entries; i++)
     {
@@ -142,15 +142,15 @@
 }
 
 /**
- * Counts all zones before any `Place` points into the array, so that it isn't
+ * Counts all zones before any `Node` points into the array, so that it isn't
  * reallocated later.
  */
 static GArray *
-zones_new (const CoPlace *self,
+zones_new (const CoNode *self,
            gboolean count_self,
-           const CoPlace *entries,
+           const CoNode *entries,
            guint n_entries,
-           const CoPlace *engines,
+           const CoNode *engines,
            guint n_engines)
 {
   GArray *zones = g_array_new (FALSE, FALSE, sizeof (Zone));
@@ -164,26 +164,26 @@
 }
 
 void
-co_subset_choose (const CoPlace *self,
-                  const CoPlace *entries,
+co_subset_choose (const CoNode *self,
+                  const CoNode *entries,
                   guint n_entries,
-                  const CoPlace *engines,
+                  const CoNode *engines,
                   guint n_engines,
                   guint size,
-                  CoSubsetPart *parts)
+                  CoSubsetKind *kinds)
 {
   GArray *zones = zones_new (self, !contains (entries, n_entries, self->name), entries, n_entries,
                              engines, n_engines);
-  Place *own = places_new (self, 1, zones);
-  Place *others = places_new (entries, n_entries, zones);
-  Place *all = places_new (engines, n_engines, zones);
+  Node *own = nodes_new (self, 1, zones);
+  Node *others = nodes_new (entries, n_entries, zones);
+  Node *all = nodes_new (engines, n_engines, zones);
 
-  share_out (zones, size);
+  compute_quotas (zones, size);
   for (guint i = 0; i < n_engines; i++)
     {
-      parts[i] = CO_SUBSET_NONE;
-      if (n_engines <= size || engine_takes (&all[i], own, others, n_entries))
-        parts[i] = own->zone == all[i].zone ? CO_SUBSET_HOME : CO_SUBSET_SPARE;
+      kinds[i] = CO_SUBSET_NONE;
+      if (n_engines <= size || engine_accepts (&all[i], own, others, n_entries))
+        kinds[i] = own->zone == all[i].zone ? CO_SUBSET_HOME : CO_SUBSET_SPARE;
     }
   g_free (all);
   g_free (others);
