--- a/coord/suspect.c
+++ b/coord/suspect.c
@@ -7,10 +7,10 @@
 #define ROW_PREFIX "suspect/"
 
 /* Number of crashes that quarantine a fingerprint. */
-#define QUARANTINE 2
+#define QUARANTINE_CRASHES 2
 
-#define PAGE_ROWS  500
-#define WRITE_ROWS 64
+#define PAGE_ROWS      500
+#define MAX_WRITE_ROWS 64
 
 /* Delay before a write, to batch several rows, and before a failed write is retried. */
 #define WRITE_DELAY (20 * KNL_MSEC)
@@ -19,23 +19,23 @@
 typedef struct
 {
   guint64 fingerprint;
-  char *crashes[QUARANTINE]; /* "ENDPOINT~INCARNATION" of each known crash; NULL: unused */
-  guint count;               /* crashes, including those known by their number only */
+  char *crashes[QUARANTINE_CRASHES]; /* "ENDPOINT~INCARNATION" of each known crash; NULL: unused */
+  guint count;                       /* crashes, including those known by their number only */
   KnlTime expires;
-  guint64 version; /* of the row as last seen; 0: no row */
-  gboolean dirty;  /* the row must be written or deleted */
-  guint64 seen;    /* scan that last found the row, or the current one when it was written */
+  guint64 version;   /* of the row as last seen; 0: no row */
+  gboolean dirty;    /* the row must be written or deleted */
+  guint64 seen_scan; /* scan that last found the row, or the current one when it was written */
 } Suspect;
 
 struct CoSuspects
 {
   CoSuspectOptions options;
-  GHashTable *table; /* fingerprint -> Suspect */
+  GHashTable *by_fingerprint; /* fingerprint -> Suspect */
   TbCallId scan;
   TbCallId write;
-  GArray *written; /* fingerprints */
-  char *after;     /* key of the last row scanned; NULL: start */
-  guint64 scans;   /* number of the current scan */
+  GArray *written;     /* fingerprints */
+  char *after;         /* key of the last row scanned; NULL: start */
+  guint64 scan_number; /* number of the current scan */
   KnlTimerId scan_timer;
   KnlTimerId write_timer;
 };
@@ -48,7 +48,7 @@
 {
   Suspect *suspect = data;
 
-  for (guint i = 0; i < QUARANTINE; i++)
+  for (guint i = 0; i < QUARANTINE_CRASHES; i++)
     g_free (suspect->crashes[i]);
   g_free (suspect);
 }
@@ -59,7 +59,8 @@
   CoSuspects *suspects = g_new0 (CoSuspects, 1);
 
   suspects->options = *options;
-  suspects->table = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, suspect_free);
+  suspects->by_fingerprint =
+      g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, suspect_free);
   suspects->written = g_array_new (FALSE, FALSE, sizeof (guint64));
   suspects->scan_timer = knl_timer_start (options->kernel, 0, scan_page, suspects);
   return suspects;
@@ -74,7 +75,7 @@
   tb_call_cancel (suspects->options.platform, &suspects->write);
   knl_timer_stop (suspects->options.kernel, &suspects->scan_timer);
   knl_timer_stop (suspects->options.kernel, &suspects->write_timer);
-  g_hash_table_destroy (suspects->table);
+  g_hash_table_destroy (suspects->by_fingerprint);
   g_array_free (suspects->written, TRUE);
   g_free (suspects->after);
   g_free (suspects);
@@ -88,12 +89,12 @@
   alderturn__suspect_entry__init (entry);
   entry->fingerprint = suspect->fingerprint;
   entry->crashes = suspect->count;
-  entry->quarantined = suspect->count >= QUARANTINE;
+  entry->quarantined = suspect->count >= QUARANTINE_CRASHES;
   entry->ttl_ms = (guint32)(MAX (left, 0) / KNL_MSEC);
 }
 
 static void
-tell (const CoSuspects *suspects, const Suspect *suspect)
+notify_changed (const CoSuspects *suspects, const Suspect *suspect)
 {
   Alderturn__SuspectUpdate update = ALDERTURN__SUSPECT_UPDATE__INIT;
   Alderturn__SuspectEntry entry;
@@ -111,38 +112,38 @@
  * quarantined ones matter most; of several, the one that expires first.
  */
 static void
-make_room (CoSuspects *suspects)
+evict_if_full (CoSuspects *suspects)
 {
   GHashTableIter iter;
   gpointer value;
-  const Suspect *least = NULL;
+  const Suspect *victim = NULL;
 
-  if (g_hash_table_size (suspects->table) < suspects->options.limit)
+  if (g_hash_table_size (suspects->by_fingerprint) < suspects->options.limit)
     return;
-  g_hash_table_iter_init (&iter, suspects->table);
+  g_hash_table_iter_init (&iter, suspects->by_fingerprint);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const Suspect *suspect = value;
 
-      if (least == NULL || suspect->count < least->count
-          || (suspect->count == least->count && suspect->expires < least->expires))
-        least = suspect;
+      if (victim == NULL || suspect->count < victim->count
+          || (suspect->count == victim->count && suspect->expires < victim->expires))
+        victim = suspect;
     }
-  if (least != NULL)
-    g_hash_table_remove (suspects->table, &least->fingerprint);
+  if (victim != NULL)
+    g_hash_table_remove (suspects->by_fingerprint, &victim->fingerprint);
 }
 
 static Suspect *
 find_or_make (CoSuspects *suspects, guint64 fingerprint)
 {
-  Suspect *suspect = g_hash_table_lookup (suspects->table, &fingerprint);
+  Suspect *suspect = g_hash_table_lookup (suspects->by_fingerprint, &fingerprint);
 
   if (suspect != NULL)
     return suspect;
-  make_room (suspects);
+  evict_if_full (suspects);
   suspect = g_new0 (Suspect, 1);
   suspect->fingerprint = fingerprint;
-  g_hash_table_insert (suspects->table, &suspect->fingerprint, suspect);
+  g_hash_table_insert (suspects->by_fingerprint, &suspect->fingerprint, suspect);
   return suspect;
 }
 
@@ -150,7 +151,7 @@
 static gboolean
 add_crash (Suspect *suspect, const char *crash)
 {
-  for (guint i = 0; i < QUARANTINE; i++)
+  for (guint i = 0; i < QUARANTINE_CRASHES; i++)
     {
       if (suspect->crashes[i] == NULL)
         {
@@ -165,7 +166,7 @@
 }
 
 static void
-want_write (CoSuspects *suspects, KnlTime delay)
+schedule_write (CoSuspects *suspects, KnlTime delay)
 {
   if (suspects->write_timer == 0)
     suspects->write_timer =
@@ -173,12 +174,12 @@
 }
 
 gboolean
-co_suspects_crash (CoSuspects *suspects, const Alderturn__CrashReport *report, gboolean own)
+co_suspects_handle_crash (CoSuspects *suspects, const Alderturn__CrashReport *report, gboolean own)
 {
   /* A process can crash only once: its crash counts once, however many entries report it. */
   char *crash =
       g_strdup_printf ("%s~%" G_GUINT64_FORMAT, report->endpoint, report->endpoint_incarnation);
-  gboolean news = FALSE;
+  gboolean is_new = FALSE;
 
   for (size_t i = 0; i < report->n_fingerprints; i++)
     {
@@ -187,20 +188,20 @@
 
       if (!add_crash (suspect, crash))
         continue;
-      news = TRUE;
+      is_new = TRUE;
       suspect->expires = knl_kernel_now (suspects->options.kernel) + suspects->options.ttl;
       suspect->dirty = own;
       if (suspect->count > before)
-        tell (suspects, suspect);
+        notify_changed (suspects, suspect);
     }
   g_free (crash);
   if (own)
-    want_write (suspects, WRITE_DELAY);
-  return news;
+    schedule_write (suspects, WRITE_DELAY);
+  return is_new;
 }
 
 void
-co_suspects_hear (CoSuspects *suspects, const Alderturn__SuspectUpdate *update)
+co_suspects_handle_update (CoSuspects *suspects, const Alderturn__SuspectUpdate *update)
 {
   KnlTime now = knl_kernel_now (suspects->options.kernel);
 
@@ -217,7 +218,7 @@
       if (entry->crashes <= suspect->count)
         continue;
       suspect->count = entry->crashes;
-      tell (suspects, suspect);
+      notify_changed (suspects, suspect);
     }
 }
 
@@ -228,17 +229,17 @@
 }
 
 static void
-see_row (CoSuspects *suspects, const TbRow *row)
+apply_row (CoSuspects *suspects, const TbRow *row)
 {
   guint64 fingerprint = g_ascii_strtoull (row->key + strlen (ROW_PREFIX), NULL, 16);
   Suspect *suspect = find_or_make (suspects, fingerprint);
   json_t *crashes = json_loads (row->value, 0, NULL);
   guint before = suspect->count;
-  guint named = 0;
+  guint n_known = 0;
   size_t index;
   json_t *crash;
 
-  suspect->seen = suspects->scans;
+  suspect->seen_scan = suspects->scan_number;
   if (row->version <= suspect->version)
     {
       json_decref (crashes);
@@ -251,12 +252,12 @@
     if (json_is_string (crash))
       add_crash (suspect, json_string_value (crash));
   }
-  for (guint i = 0; i < QUARANTINE; i++)
-    named += suspect->crashes[i] != NULL ? 1 : 0;
-  suspect->dirty = suspect->dirty && named > json_array_size (crashes);
+  for (guint i = 0; i < QUARANTINE_CRASHES; i++)
+    n_known += suspect->crashes[i] != NULL ? 1 : 0;
+  suspect->dirty = suspect->dirty && n_known > json_array_size (crashes);
   json_decref (crashes);
   if (suspect->count > before)
-    tell (suspects, suspect);
+    notify_changed (suspects, suspect);
 }
 
 /*
@@ -270,13 +271,13 @@
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, suspects->table);
+  g_hash_table_iter_init (&iter, suspects->by_fingerprint);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      if (((Suspect *)value)->seen < suspects->scans)
+      if (((Suspect *)value)->seen_scan < suspects->scan_number)
         ((Suspect *)value)->version = 0;
     }
-  suspects->scans++;
+  suspects->scan_number++;
 }
 
 /*
@@ -291,7 +292,7 @@
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, suspects->table);
+  g_hash_table_iter_init (&iter, suspects->by_fingerprint);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       Suspect *suspect = value;
@@ -320,7 +321,7 @@
 
   suspects->scan = 0;
   for (guint i = 0; i < n_rows; i++)
-    see_row (suspects, &rows[i]);
+    apply_row (suspects, &rows[i]);
   g_clear_pointer (&suspects->after, g_free);
   if (status == TB_OK && more && n_rows > 0)
     {
@@ -331,7 +332,7 @@
     forget_deleted_rows (suspects);
   schedule_scan (suspects, delay);
   expire (suspects);
-  want_write (suspects, WRITE_DELAY);
+  schedule_write (suspects, WRITE_DELAY);
 }
 
 static void
@@ -352,20 +353,20 @@
 }
 
 static void
-adopt_written (CoSuspects *suspects, guint64 version)
+apply_written (CoSuspects *suspects, guint64 version)
 {
   for (guint i = 0; i < suspects->written->len; i++)
     {
-      Suspect *suspect =
-          g_hash_table_lookup (suspects->table, &g_array_index (suspects->written, guint64, i));
+      Suspect *suspect = g_hash_table_lookup (suspects->by_fingerprint,
+                                              &g_array_index (suspects->written, guint64, i));
 
       if (suspect == NULL)
         continue;
       suspect->dirty = FALSE;
       suspect->version = version;
-      suspect->seen = suspects->scans;
+      suspect->seen_scan = suspects->scan_number;
       if (is_expired (suspects, suspect))
-        g_hash_table_remove (suspects->table, &suspect->fingerprint);
+        g_hash_table_remove (suspects->by_fingerprint, &suspect->fingerprint);
     }
 }
 
@@ -377,14 +378,14 @@
   suspects->write = 0;
   if (status == TB_OK)
     {
-      adopt_written (suspects, version);
-      want_write (suspects, WRITE_DELAY);
+      apply_written (suspects, version);
+      schedule_write (suspects, WRITE_DELAY);
       return;
     }
   /* Others may have changed the rows, or this write may have succeeded: scan them, then retry. */
   if (status != TB_UNAVAILABLE)
     schedule_scan (suspects, 0);
-  want_write (suspects, RETRY_DELAY);
+  schedule_write (suspects, RETRY_DELAY);
 }
 
 static char *
@@ -393,7 +394,7 @@
   json_t *crashes = json_array ();
   char *value;
 
-  for (guint i = 0; i < QUARANTINE; i++)
+  for (guint i = 0; i < QUARANTINE_CRASHES; i++)
     {
       if (suspect->crashes[i] != NULL)
         json_array_append_new (crashes, json_string (suspect->crashes[i]));
@@ -407,8 +408,8 @@
 write_dirty (gpointer data)
 {
   CoSuspects *suspects = data;
-  TbCheck checks[WRITE_ROWS];
-  TbWrite writes[WRITE_ROWS];
+  TbCheck checks[MAX_WRITE_ROWS];
+  TbWrite writes[MAX_WRITE_ROWS];
   TbTransaction transaction = { .checks = checks, .writes = writes };
   GHashTableIter iter;
   gpointer value;
@@ -417,8 +418,8 @@
   if (suspects->write != 0)
     return;
   g_array_set_size (suspects->written, 0);
-  g_hash_table_iter_init (&iter, suspects->table);
-  while (transaction.n_writes < WRITE_ROWS && g_hash_table_iter_next (&iter, NULL, &value))
+  g_hash_table_iter_init (&iter, suspects->by_fingerprint);
+  while (transaction.n_writes < MAX_WRITE_ROWS && g_hash_table_iter_next (&iter, NULL, &value))
     {
       Suspect *suspect = value;
       char *key;
@@ -448,8 +449,9 @@
   gpointer value;
 
   alderturn__suspect_update__init (update);
-  update->entries = g_new0 (Alderturn__SuspectEntry *, g_hash_table_size (suspects->table) + 1);
-  g_hash_table_iter_init (&iter, suspects->table);
+  update->entries =
+      g_new0 (Alderturn__SuspectEntry *, g_hash_table_size (suspects->by_fingerprint) + 1);
+  g_hash_table_iter_init (&iter, suspects->by_fingerprint);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       Alderturn__SuspectEntry *entry = g_new (Alderturn__SuspectEntry, 1);
@@ -463,5 +465,5 @@
 guint
 co_suspects_count (const CoSuspects *suspects)
 {
-  return g_hash_table_size (suspects->table);
+  return g_hash_table_size (suspects->by_fingerprint);
 }
--- a/ctl/change.c
+++ b/ctl/change.c
@@ -3,16 +3,16 @@
 #include "ctl/value.h"
 
 ClChange *
-cl_change_new (const CoKind *kind, const char *name, const char *source, ClPlace place)
+cl_change_new (const CoKind *kind, const char *name, const char *source, ClLocation location)
 {
   ClChange *change = g_new0 (ClChange, 1);
 
   change->kind = kind;
   change->name = g_strdup (name);
   change->source = g_strdup (source);
-  change->place = place;
+  change->location = location;
   change->fields = json_object ();
-  change->places = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  change->field_locations = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   return change;
 }
 
@@ -24,12 +24,12 @@
   g_free (change->name);
   g_free (change->source);
   json_decref (change->fields);
-  g_hash_table_unref (change->places);
+  g_hash_table_unref (change->field_locations);
   g_free (change);
 }
 
 static const CoKind *
-kind_check (ClParser *parser, const ClToken *token)
+kind_find (ClParser *parser, const ClToken *token)
 {
   const CoKind *kind = co_schema_kind (token->text);
   GString *names;
@@ -54,7 +54,7 @@
 
   if (kind == NULL)
     return NULL;
-  found = kind_check (parser, kind);
+  found = kind_find (parser, kind);
   name = cl_parser_expect_text (parser, "a name");
   if (name == NULL)
     return NULL;
@@ -63,7 +63,8 @@
                        "\"%s\" is no name: 1 to 63 of a-z, 0-9, \"-\", \".\", first a letter or "
                        "digit",
                        name->text);
-  return cl_change_new (found, name->text, parser->source, (ClPlace){ kind->line, kind->column });
+  return cl_change_new (found, name->text, parser->source,
+                        (ClLocation){ kind->line, kind->column });
 }
 
 /*
@@ -75,17 +76,17 @@
 field_check (const ClChange *change,
              const char *field,
              json_t *value,
-             ClPlace place,
+             ClLocation location,
              CmFindings *findings)
 {
-  json_t *alone = json_object ();
+  json_t *object = json_object ();
   char *where = g_strdup_printf ("%s %s.%s", change->kind->name, change->name, field);
   CmFindings all;
 
   cm_findings_init (&all);
-  json_object_set (alone, field, value);
-  co_schema_check (change->kind, change->name, alone, change->source, place.line, place.column,
-                   &all);
+  json_object_set (object, field, value);
+  co_schema_check (change->kind, change->name, object, change->source, location.line,
+                   location.column, &all);
   for (guint i = 0; i < cm_findings_count (&all); i++)
     {
       const CmFinding *finding = cm_findings_get (&all, i);
@@ -95,7 +96,7 @@
                          finding->text);
     }
   cm_findings_clear (&all);
-  json_decref (alone);
+  json_decref (object);
   g_free (where);
 }
 
@@ -103,13 +104,14 @@
 cl_change_parse_field (ClChange *change, ClParser *parser)
 {
   const ClToken *name = cl_parser_expect_text (parser, "a field");
-  ClPlace place;
+  ClLocation location;
   json_t *value;
 
   if (name == NULL)
     return FALSE;
-  place = (ClPlace){ name->line, name->column };
-  g_hash_table_insert (change->places, g_strdup (name->text), g_memdup2 (&place, sizeof place));
+  location = (ClLocation){ name->line, name->column };
+  g_hash_table_insert (change->field_locations, g_strdup (name->text),
+                       g_memdup2 (&location, sizeof location));
   if (!cl_parser_expect_symbol (parser, "="))
     return FALSE;
   value = cl_value_parse (parser,
@@ -119,18 +121,18 @@
   if (json_object_get (change->fields, name->text) != NULL)
     cl_parser_finding (parser, name, "\"%s\" stands twice", name->text);
   else if (change->kind != NULL)
-    field_check (change, name->text, value, place, parser->findings);
+    field_check (change, name->text, value, location, parser->findings);
   json_object_set_new (change->fields, name->text, value);
   return TRUE;
 }
 
 gboolean
-cl_change_parse_expect (ClChange *change, ClParser *parser)
+cl_change_parse_expected_revision (ClChange *change, ClParser *parser)
 {
   if (!cl_parser_accept_word (parser, "if"))
     return TRUE;
-  change->expects = TRUE;
-  return cl_parser_expect_revision (parser, &change->expect);
+  change->has_expected_revision = TRUE;
+  return cl_parser_expect_revision (parser, &change->expected_revision);
 }
 
 void
@@ -142,17 +144,17 @@
     {
       char *where;
 
-      if (!field->required || g_hash_table_contains (change->places, field->name))
+      if (!field->required || g_hash_table_contains (change->field_locations, field->name))
         continue;
       where = g_strdup_printf ("%s %s.%s", change->kind->name, change->name, field->name);
-      cm_findings_add (findings, change->source, change->place.line, change->place.column, where,
-                       "is required: %s", field->help);
+      cm_findings_add (findings, change->source, change->location.line, change->location.column,
+                       where, "is required: %s", field->help);
       g_free (where);
     }
 }
 
 const char *
-cl_change_field_of (const ClChange *change, const char *where)
+cl_change_find_field (const ClChange *change, const char *where)
 {
   const char *key;
   json_t *value;
@@ -162,22 +164,23 @@
   json_object_foreach (change->fields, key, value)
   {
     char *suffix = g_strconcat (".", key, NULL);
-    gboolean named = g_str_has_suffix (where, suffix);
+    gboolean matches = g_str_has_suffix (where, suffix);
 
     g_free (suffix);
-    if (named)
+    if (matches)
       return key;
   }
   return NULL;
 }
 
-ClPlace
+ClLocation
 cl_change_locate (const ClChange *change, const char *where)
 {
-  const char *field = cl_change_field_of (change, where);
-  const ClPlace *place = field != NULL ? g_hash_table_lookup (change->places, field) : NULL;
+  const char *field = cl_change_find_field (change, where);
+  const ClLocation *location =
+      field != NULL ? g_hash_table_lookup (change->field_locations, field) : NULL;
 
-  return place != NULL ? *place : change->place;
+  return location != NULL ? *location : change->location;
 }
 
 static json_t *
@@ -191,8 +194,8 @@
       json_object_set (json, "fields", change->fields);
       json_object_set_new (json, "replace", json_boolean (change->replace));
     }
-  if (change->expects)
-    json_object_set_new (json, "expect", json_integer ((json_int_t)change->expect));
+  if (change->has_expected_revision)
+    json_object_set_new (json, "expect", json_integer ((json_int_t)change->expected_revision));
   return json;
 }
 
--- a/ctl/commands/apply.c
+++ b/ctl/commands/apply.c
@@ -67,7 +67,7 @@
 }
 
 static gboolean
-is_known (const CmFindings *findings, const CmFinding *finding)
+has_finding_at_same_field (const CmFindings *findings, const CmFinding *finding)
 {
   for (guint i = 0; i < cm_findings_count (findings); i++)
     {
@@ -80,17 +80,17 @@
 /* TRUE when the finding concerns a field that the file sets. Other fields may be missing only
  * because of a syntax error in the file. */
 static gboolean
-is_about_a_field (const Apply *apply, const CmFinding *finding)
+concerns_set_field (const Apply *apply, const CmFinding *finding)
 {
   for (guint i = 0; i < apply->changes->len; i++)
     {
       const ClChange *change = g_ptr_array_index (apply->changes, i);
       char *prefix = g_strdup_printf ("%s %s.", change->kind->name, change->name);
-      gboolean mine = g_str_has_prefix (finding->where, prefix)
-                      && cl_change_field_of (change, finding->where) != NULL;
+      gboolean matches = g_str_has_prefix (finding->where, prefix)
+                         && cl_change_find_field (change, finding->where) != NULL;
 
       g_free (prefix);
-      if (mine)
+      if (matches)
         return TRUE;
     }
   return FALSE;
@@ -111,8 +111,8 @@
     {
       const CmFinding *finding = cm_findings_get (&result->findings, i);
 
-      if (finding->where != NULL && is_about_a_field (apply, finding)
-          && !is_known (findings, finding))
+      if (finding->where != NULL && concerns_set_field (apply, finding)
+          && !has_finding_at_same_field (findings, finding))
         cm_findings_add (findings, finding->source, finding->line, finding->column, finding->where,
                          "%s", finding->text);
     }
--- a/ctl/commands/drain.c
+++ b/ctl/commands/drain.c
@@ -23,7 +23,7 @@
       return NULL;
     }
   change = cl_change_new (co_schema_kind ("instance"), name->text, parser->source,
-                          (ClPlace){ name->line, name->column });
+                          (ClLocation){ name->line, name->column });
   json_object_set_new (change->fields, "state", json_string (state));
   drain = g_new0 (Drain, 1);
   drain->command.klass = klass;
--- a/ctl/commands/help.c
+++ b/ctl/commands/help.c
@@ -7,8 +7,8 @@
 typedef struct
 {
   ClCommand command;
-  const ClCommandClass *about; /* command to explain; or NULL */
-  const CoKind *kind;          /* kind to explain; or NULL */
+  const ClCommandClass *command_class; /* command to explain; or NULL */
+  const CoKind *kind;                  /* kind to explain; or NULL */
 } Help;
 
 static void
@@ -20,7 +20,7 @@
 static ClCommand *
 help_parse (ClParser *parser)
 {
-  const ClCommandClass *about = NULL;
+  const ClCommandClass *command_class = NULL;
   const CoKind *kind = NULL;
   Help *help;
 
@@ -30,9 +30,9 @@
 
       if (name == NULL)
         return NULL;
-      about = cl_command_find (name->text);
+      command_class = cl_command_find (name->text);
       kind = co_schema_kind (name->text);
-      if (about == NULL && kind == NULL)
+      if (command_class == NULL && kind == NULL)
         {
           cl_parser_finding (parser, name, "there is no command or kind \"%s\"; see help",
                              name->text);
@@ -41,7 +41,7 @@
     }
   help = g_new0 (Help, 1);
   help->command.klass = &cl_command_help;
-  help->about = about;
+  help->command_class = command_class;
   help->kind = kind;
   return &help->command;
 }
@@ -108,11 +108,11 @@
   GString *text = g_string_new (NULL);
   ClResult *result;
 
-  if (help->about != NULL)
-    g_string_append_printf (text, "%s\n%s", help->about->usage, help->about->help);
+  if (help->command_class != NULL)
+    g_string_append_printf (text, "%s\n%s", help->command_class->usage, help->command_class->help);
   if (help->kind != NULL)
     append_kind (text, help->kind);
-  if (help->about == NULL && help->kind == NULL)
+  if (help->command_class == NULL && help->kind == NULL)
     append_overview (text);
   result = cl_result_new (CL_DONE, "%s", text->str);
   g_string_free (text, TRUE);
--- a/ctl/commands/remove.c
+++ b/ctl/commands/remove.c
@@ -22,7 +22,7 @@
 
   if (change == NULL)
     return NULL;
-  if (!cl_change_parse_expect (change, parser) || change->kind == NULL)
+  if (!cl_change_parse_expected_revision (change, parser) || change->kind == NULL)
     {
       cl_change_free (change);
       return NULL;
--- a/ctl/commands/set.c
+++ b/ctl/commands/set.c
@@ -26,7 +26,7 @@
   do
     good = cl_change_parse_field (change, parser);
   while (good && cl_parser_accept_symbol (parser, ","));
-  if (!good || !cl_change_parse_expect (change, parser) || change->kind == NULL)
+  if (!good || !cl_change_parse_expected_revision (change, parser) || change->kind == NULL)
     {
       cl_change_free (change);
       return NULL;
--- a/ctl/commands/show.c
+++ b/ctl/commands/show.c
@@ -30,7 +30,7 @@
 }
 
 static ClResult *
-result_of_rows (const ClQuery *query, const json_t *rows)
+result_from_rows (const ClQuery *query, const json_t *rows)
 {
   ClResult *result = cl_result_new (CL_DONE, NULL);
 
@@ -51,7 +51,7 @@
   if (answer == NULL)
     return result;
   cl_table_fill_defaults (query->table, json_object_get (answer, "rows"));
-  result = result_of_rows (query, json_object_get (answer, "rows"));
+  result = result_from_rows (query, json_object_get (answer, "rows"));
   revision = json_object_get (answer, "revision");
   if (revision != NULL)
     cl_result_set (result, "revision", json_incref (revision));
@@ -65,12 +65,12 @@
   json_t *rows = json_array ();
   GPtrArray *unreached = NULL;
   ClResult *result =
-      cl_entries_ask (session, "/v1/operator/requests", NULL, "rows", rows, &unreached);
+      cl_entries_query (session, "/v1/operator/requests", NULL, "rows", rows, &unreached);
 
   if (result == NULL)
     {
-      result = result_of_rows (query, rows);
-      cl_entries_note (result, unreached);
+      result = result_from_rows (query, rows);
+      cl_entries_note_unreached (result, unreached);
       if (unreached->len > 0)
         result->status = CL_NOT_RUN;
       g_ptr_array_unref (unreached);
--- a/ctl/commands/wait.c
+++ b/ctl/commands/wait.c
@@ -2,12 +2,12 @@
 #include "ctl/value.h"
 
 #define DEFAULT_SECONDS 30.0
-#define SECONDS_LIMIT   86400.0
+#define MAX_SECONDS     86400.0
 
 /* Longest time that one request waits at a controller. After it the request is repeated, at another
  * controller if this one fails. */
-#define ROUND    (2 * KNL_SEC)
-#define INTERVAL (200 * KNL_MSEC)
+#define POLL_TIMEOUT  (2 * KNL_SEC)
+#define POLL_INTERVAL (200 * KNL_MSEC)
 
 typedef struct
 {
@@ -28,22 +28,22 @@
   const ClToken *token = cl_parser_expect_text (parser, "a number of seconds");
 
   if (token != NULL
-      && (!cl_number_parse (token->text, seconds) || *seconds < 0 || *seconds > SECONDS_LIMIT))
+      && (!cl_number_parse (token->text, seconds) || *seconds < 0 || *seconds > MAX_SECONDS))
     cl_parser_finding (parser, token, "\"%s\" is not a number of seconds from 0 to %.0f",
-                       token->text, SECONDS_LIMIT);
+                       token->text, MAX_SECONDS);
 }
 
 static ClCommand *
 wait_parse (ClParser *parser)
 {
-  guint before = cm_findings_count (parser->findings);
+  guint findings_before = cm_findings_count (parser->findings);
   Wait *wait = g_new0 (Wait, 1);
 
   wait->command.klass = &cl_command_wait;
   wait->seconds = DEFAULT_SECONDS;
   if (cl_parser_expect_revision (parser, &wait->revision) && cl_parser_accept_word (parser, "for"))
     seconds_parse (parser, &wait->seconds);
-  if (cm_findings_count (parser->findings) == before)
+  if (cm_findings_count (parser->findings) == findings_before)
     return &wait->command;
   g_free (wait);
   return NULL;
@@ -63,7 +63,7 @@
 }
 
 static ClResult *
-wait_round (const Wait *wait, ClSession *session, KnlTime time)
+wait_poll (const Wait *wait, ClSession *session, KnlTime time)
 {
   char *path =
       g_strdup_printf ("/v1/revision?wait=%" G_GUINT64_FORMAT "&timeout_ms=%" G_GINT64_FORMAT,
@@ -96,13 +96,13 @@
       KnlTime left = deadline - transport->klass->now (transport);
 
       cl_result_free (result);
-      result = wait_round (wait, session, CLAMP (left, 0, ROUND));
+      result = wait_poll (wait, session, CLAMP (left, 0, POLL_TIMEOUT));
       left = deadline - transport->klass->now (transport);
       if (result->status == CL_DONE || result->status == CL_REFUSED || result->status == CL_BAD
           || left <= 0)
         return result;
       /* Avoids a tight loop when controllers answer or fail at once. */
-      transport->klass->pause (transport, MIN (left, INTERVAL));
+      transport->klass->pause (transport, MIN (left, POLL_INTERVAL));
     }
 }
 
--- a/ctl/commands/why.c
+++ b/ctl/commands/why.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 /* A request id is INSTANCE~INCARNATION~NUMBER, INSTANCE being the entry that assigned it. */
-#define PART_SEPARATOR '~'
+#define REQUEST_ID_SEPARATOR '~'
 
 typedef struct
 {
@@ -34,7 +34,7 @@
 }
 
 static ClResult *
-result_of_events (const Why *why, json_t *events, const GPtrArray *unreached)
+result_from_events (const Why *why, json_t *events, const GPtrArray *unreached)
 {
   static const char *const columns[] = { "at_ms", "event", "detail", "entry", NULL };
   ClResult *result;
@@ -49,14 +49,14 @@
     result = cl_result_new (CL_NOT_RUN, "no entry that answered knows request %s", why->request);
   else
     result = cl_result_new (CL_REFUSED, "no entry knows request %s (any more)", why->request);
-  cl_entries_note (result, unreached);
+  cl_entries_note_unreached (result, unreached);
   return result;
 }
 
 static char *
-entry_of (const char *request)
+entry_from_request_id (const char *request)
 {
-  const char *end = strchr (request, PART_SEPARATOR);
+  const char *end = strchr (request, REQUEST_ID_SEPARATOR);
 
   return end != NULL ? g_strndup (request, (gsize)(end - request)) : NULL;
 }
@@ -65,15 +65,15 @@
 why_run (ClCommand *command, ClSession *session)
 {
   Why *why = (Why *)command;
-  char *entry = entry_of (why->request);
+  char *entry = entry_from_request_id (why->request);
   char *escaped = g_uri_escape_string (why->request, "~", FALSE);
   char *path = g_strconcat ("/v1/operator/requests/", escaped, NULL);
   json_t *events = json_array ();
   GPtrArray *unreached = NULL;
-  ClResult *result = cl_entries_ask (session, path, entry, "events", events, &unreached);
+  ClResult *result = cl_entries_query (session, path, entry, "events", events, &unreached);
 
   if (result == NULL)
-    result = result_of_events (why, events, unreached);
+    result = result_from_events (why, events, unreached);
   if (unreached != NULL)
     g_ptr_array_unref (unreached);
   json_decref (events);
--- a/ctl/condition.c
+++ b/ctl/condition.c
@@ -6,8 +6,8 @@
 
 /* Conditions are parsed and evaluated recursively. Without these limits a very long condition from
  * a script would overflow the stack and crash the program instead of giving a finding. */
-#define NESTING_LIMIT 64
-#define JOINT_LIMIT   256
+#define MAX_NESTING 64
+#define MAX_JOINS   256
 
 typedef enum
 {
@@ -97,7 +97,7 @@
 }
 
 static gboolean
-values_parse (ClParser *parser, GPtrArray *values, gboolean several)
+values_parse (ClParser *parser, GPtrArray *values, gboolean is_list)
 {
   do
     {
@@ -107,8 +107,8 @@
         return FALSE;
       g_ptr_array_add (values, g_strdup (token->text));
     }
-  while (several && cl_parser_accept_symbol (parser, ","));
-  return !several || cl_parser_expect_symbol (parser, ")");
+  while (is_list && cl_parser_accept_symbol (parser, ","));
+  return !is_list || cl_parser_expect_symbol (parser, ")");
 }
 
 static ClCondition *
@@ -135,18 +135,18 @@
 static ClCondition *or_parse (ClParser *parser, const ClTable *table, guint depth);
 
 static ClCondition *
-one_parse (ClParser *parser, const ClTable *table, guint depth)
+factor_parse (ClParser *parser, const ClTable *table, guint depth)
 {
   ClCondition *condition;
 
-  if (depth > NESTING_LIMIT)
+  if (depth > MAX_NESTING)
     {
       cl_parser_finding (parser, cl_parser_peek (parser), "is nested too deeply");
       return NULL;
     }
   if (cl_parser_accept_word (parser, "not"))
     {
-      ClCondition *inner = one_parse (parser, table, depth + 1);
+      ClCondition *inner = factor_parse (parser, table, depth + 1);
 
       if (inner == NULL)
         return NULL;
@@ -165,7 +165,7 @@
 
 /* Joins two conditions. Frees `left` and returns NULL if `right` is NULL. */
 static ClCondition *
-join (ConditionType type, ClCondition *left, ClCondition *right)
+conditions_join (ConditionType type, ClCondition *left, ClCondition *right)
 {
   ClCondition *condition;
 
@@ -179,31 +179,31 @@
   return condition;
 }
 
-typedef ClCondition *(*PartParseFunc) (ClParser *parser, const ClTable *table, guint depth);
+typedef ClCondition *(*OperandParseFunc) (ClParser *parser, const ClTable *table, guint depth);
 
 /* Parses one or more operands separated by `word`. */
 static ClCondition *
-joints_parse (ClParser *parser,
-              const ClTable *table,
-              guint depth,
-              PartParseFunc part,
-              const char *word,
-              ConditionType type)
+operands_parse (ClParser *parser,
+                const ClTable *table,
+                guint depth,
+                OperandParseFunc part,
+                const char *word,
+                ConditionType type)
 {
   ClCondition *condition = part (parser, table, depth);
-  guint joints = 0;
+  guint joins = 0;
 
-  while (condition != NULL && cl_parser_sees_word (parser, word))
+  while (condition != NULL && cl_parser_next_is_word (parser, word))
     {
-      if (++joints > JOINT_LIMIT)
+      if (++joins > MAX_JOINS)
         {
           cl_parser_finding (parser, cl_parser_peek (parser), "more than %d times \"%s\"",
-                             JOINT_LIMIT, word);
+                             MAX_JOINS, word);
           cl_condition_free (condition);
           return NULL;
         }
       cl_parser_next (parser);
-      condition = join (type, condition, part (parser, table, depth));
+      condition = conditions_join (type, condition, part (parser, table, depth));
     }
   return condition;
 }
@@ -211,13 +211,13 @@
 static ClCondition *
 and_parse (ClParser *parser, const ClTable *table, guint depth)
 {
-  return joints_parse (parser, table, depth, one_parse, "and", CONDITION_AND);
+  return operands_parse (parser, table, depth, factor_parse, "and", CONDITION_AND);
 }
 
 static ClCondition *
 or_parse (ClParser *parser, const ClTable *table, guint depth)
 {
-  return joints_parse (parser, table, depth, and_parse, "or", CONDITION_OR);
+  return operands_parse (parser, table, depth, and_parse, "or", CONDITION_OR);
 }
 
 ClCondition *
@@ -227,7 +227,7 @@
 }
 
 char *
-cl_cell_text (const json_t *cell)
+cl_cell_to_text (const json_t *cell)
 {
   char buffer[G_ASCII_DTOSTR_BUF_SIZE];
 
@@ -251,7 +251,7 @@
 
         json_array_foreach (cell, index, item)
         {
-          char *part = cl_cell_text (item);
+          char *part = cl_cell_to_text (item);
 
           g_string_append_printf (text, "%s%s", index > 0 ? "," : "", part);
           g_free (part);
@@ -270,25 +270,25 @@
 cell_compare (const json_t *cell, const char *value)
 {
   double number;
-  double mine;
+  double cell_number;
   char *text;
   int order;
 
   if (json_is_number (cell) && cl_number_parse (value, &number))
     {
-      mine = json_number_value (cell);
-      return (mine > number) - (mine < number);
+      cell_number = json_number_value (cell);
+      return (cell_number > number) - (cell_number < number);
     }
-  text = cl_cell_text (cell);
+  text = cl_cell_to_text (cell);
   order = strcmp (text, value);
   g_free (text);
   return order;
 }
 
 static gboolean
-cell_globs (const json_t *cell, const char *pattern)
+cell_matches_glob (const json_t *cell, const char *pattern)
 {
-  char *text = cl_cell_text (cell);
+  char *text = cl_cell_to_text (cell);
   gboolean matches = g_pattern_match_simple (pattern, text);
 
   g_free (text);
@@ -323,7 +323,7 @@
     case OPERATOR_AT_LEAST:
       return cell_compare (cell, condition->values[0]) >= 0;
     case OPERATOR_GLOB:
-      return cell_globs (cell, condition->values[0]);
+      return cell_matches_glob (cell, condition->values[0]);
     case OPERATOR_IN:
       return cell_in (cell, condition->values);
     }
--- a/ctl/entries.c
+++ b/ctl/entries.c
@@ -6,7 +6,7 @@
 #define HTTP_NOT_FOUND 404
 
 static const char *
-text_of (const json_t *row, const char *name)
+string_member (const json_t *row, const char *name)
 {
   const char *text = json_string_value (json_object_get (row, name));
 
@@ -14,33 +14,34 @@
 }
 
 static gboolean
-is_entry (const json_t *row, const char *only)
+is_entry (const json_t *row, const char *only_entry)
 {
-  return strcmp (text_of (row, "kind"), "entry") == 0 && text_of (row, "address")[0] != '\0'
-         && (only == NULL || strcmp (text_of (row, "name"), only) == 0);
+  return strcmp (string_member (row, "kind"), "entry") == 0
+         && string_member (row, "address")[0] != '\0'
+         && (only_entry == NULL || strcmp (string_member (row, "name"), only_entry) == 0);
 }
 
 static gboolean
-names_an_entry (const json_t *rows, const char *only)
+has_entry (const json_t *rows, const char *only_entry)
 {
   size_t index;
   json_t *row;
 
   json_array_foreach (rows, index, row)
   {
-    if (is_entry (row, only))
+    if (is_entry (row, only_entry))
       return TRUE;
   }
   return FALSE;
 }
 
 static void
-add_rows (const char *entry, const json_t *body, const char *list, json_t *rows)
+add_rows (const char *entry, const json_t *body, const char *array_member, json_t *rows)
 {
   size_t index;
   json_t *row;
 
-  json_array_foreach (json_object_get (body, list), index, row)
+  json_array_foreach (json_object_get (body, array_member), index, row)
   {
     json_object_set_new (row, "entry", json_string (entry));
     json_array_append (rows, row);
@@ -49,44 +50,44 @@
 
 /* Handles the reply of the entry in `row`, a row of the instances table. */
 static void
-reply_take (const json_t *row,
-            const ClReply *reply,
-            const char *list,
-            json_t *rows,
-            GPtrArray *unreached)
+reply_handle (const json_t *row,
+              const ClReply *reply,
+              const char *array_member,
+              json_t *rows,
+              GPtrArray *unreached)
 {
   gboolean answered = reply->state == CL_REPLY_ANSWERED;
   ClResult *failure;
 
   if (answered && reply->status == HTTP_OK && reply->body != NULL)
-    add_rows (text_of (row, "name"), reply->body, list, rows);
+    add_rows (string_member (row, "name"), reply->body, array_member, rows);
   else if (!answered || reply->status != HTTP_NOT_FOUND)
     {
-      failure = cl_result_from_reply (text_of (row, "address"), reply);
+      failure = cl_result_from_reply (string_member (row, "address"), reply);
       g_ptr_array_add (unreached,
-                       g_strdup_printf ("%s (%s)", text_of (row, "name"), failure->message));
+                       g_strdup_printf ("%s (%s)", string_member (row, "name"), failure->message));
       cl_result_free (failure);
     }
 }
 
 /* Queries all entries in `chosen`, rows of the instances table, concurrently. */
 static void
-entries_ask (ClSession *session,
-             const GPtrArray *chosen,
-             const char *path,
-             const char *list,
-             json_t *rows,
-             GPtrArray *unreached)
+entries_query (ClSession *session,
+               const GPtrArray *chosen,
+               const char *path,
+               const char *array_member,
+               json_t *rows,
+               GPtrArray *unreached)
 {
   const char **addresses = g_new0 (const char *, chosen->len + 1);
   ClReply **replies = g_new0 (ClReply *, chosen->len + 1);
 
   for (guint i = 0; i < chosen->len; i++)
-    addresses[i] = text_of (g_ptr_array_index (chosen, i), "address");
-  cl_session_ask_all (session, addresses, chosen->len, path, replies);
+    addresses[i] = string_member (g_ptr_array_index (chosen, i), "address");
+  cl_session_get_all (session, addresses, chosen->len, path, replies);
   for (guint i = 0; i < chosen->len; i++)
     {
-      reply_take (g_ptr_array_index (chosen, i), replies[i], list, rows, unreached);
+      reply_handle (g_ptr_array_index (chosen, i), replies[i], array_member, rows, unreached);
       cl_reply_free (replies[i]);
     }
   g_free (replies);
@@ -94,12 +95,12 @@
 }
 
 ClResult *
-cl_entries_ask (ClSession *session,
-                const char *path,
-                const char *only,
-                const char *list,
-                json_t *rows,
-                GPtrArray **unreached)
+cl_entries_query (ClSession *session,
+                  const char *path,
+                  const char *only_entry,
+                  const char *array_member,
+                  json_t *rows,
+                  GPtrArray **unreached)
 {
   ClResult *failure = NULL;
   json_t *answer = cl_session_get (session, "/v1/show/instances", 0, &failure);
@@ -113,21 +114,21 @@
   *unreached = g_ptr_array_new_with_free_func (g_free);
   chosen = g_ptr_array_new ();
   instances = json_object_get (answer, "rows");
-  if (only != NULL && !names_an_entry (instances, only))
-    only = NULL;
+  if (only_entry != NULL && !has_entry (instances, only_entry))
+    only_entry = NULL;
   json_array_foreach (instances, index, row)
   {
-    if (is_entry (row, only))
+    if (is_entry (row, only_entry))
       g_ptr_array_add (chosen, row);
   }
-  entries_ask (session, chosen, path, list, rows, *unreached);
+  entries_query (session, chosen, path, array_member, rows, *unreached);
   g_ptr_array_unref (chosen);
   json_decref (answer);
   return NULL;
 }
 
 void
-cl_entries_note (ClResult *result, const GPtrArray *unreached)
+cl_entries_note_unreached (ClResult *result, const GPtrArray *unreached)
 {
   for (guint i = 0; i < unreached->len; i++)
     cl_result_note (result, "no answer from entry %s",
--- a/ctl/file.c
+++ b/ctl/file.c
@@ -7,7 +7,7 @@
 peek_ahead (const ClParser *parser, guint ahead)
 {
   return &g_array_index (parser->tokens, ClToken,
-                         MIN (parser->at + ahead, parser->tokens->len - 1));
+                         MIN (parser->position + ahead, parser->tokens->len - 1));
 }
 
 static gboolean
@@ -24,7 +24,7 @@
 
 /* TRUE before "KIND NAME {", or before "remove KIND" with a known kind. */
 static gboolean
-sees_object (const ClParser *parser)
+next_is_object (const ClParser *parser)
 {
   const ClToken *first = peek_ahead (parser, 0);
   const ClToken *second = peek_ahead (parser, 1);
@@ -37,13 +37,13 @@
 }
 
 static gboolean
-sees_field (const ClParser *parser)
+next_is_field (const ClParser *parser)
 {
   return is_text (peek_ahead (parser, 0)) && is_symbol (peek_ahead (parser, 1), "=");
 }
 
 static gboolean
-sees_end (const ClParser *parser)
+next_is_end (const ClParser *parser)
 {
   return cl_parser_peek (parser)->type == CL_TOKEN_END;
 }
@@ -52,15 +52,15 @@
 static void
 skip_to_field (ClParser *parser)
 {
-  while (!sees_end (parser) && !cl_parser_sees_symbol (parser, "}") && !sees_field (parser)
-         && !sees_object (parser))
+  while (!next_is_end (parser) && !cl_parser_next_is_symbol (parser, "}") && !next_is_field (parser)
+         && !next_is_object (parser))
     cl_parser_next (parser);
 }
 
 static void
 skip_to_object (ClParser *parser)
 {
-  while (!sees_end (parser) && !sees_object (parser))
+  while (!next_is_end (parser) && !next_is_object (parser))
     cl_parser_next (parser);
 }
 
@@ -76,7 +76,7 @@
     }
   while (!cl_parser_accept_symbol (parser, "}"))
     {
-      if (sees_end (parser) || sees_object (parser))
+      if (next_is_end (parser) || next_is_object (parser))
         {
           cl_parser_finding (parser, open, "the block of %s is not closed", change->name);
           return;
@@ -97,9 +97,9 @@
 
       if (other->kind != change->kind || strcmp (other->name, change->name) != 0)
         continue;
-      cm_findings_add (findings, change->source, change->place.line, change->place.column, NULL,
-                       "%s %s stands twice, first at line %u", change->kind->name, change->name,
-                       other->place.line);
+      cm_findings_add (findings, change->source, change->location.line, change->location.column,
+                       NULL, "%s %s stands twice, first at line %u", change->kind->name,
+                       change->name, other->location.line);
       return;
     }
 }
@@ -112,7 +112,7 @@
 
   if (change == NULL)
     {
-      if (!sees_end (parser))
+      if (!next_is_end (parser))
         cl_parser_next (parser);
       skip_to_object (parser);
       return;
@@ -140,7 +140,7 @@
   ClParser parser = { .source = source, .findings = findings };
 
   parser.tokens = cl_lex (text, CL_LEX_FILE, source, findings);
-  while (!sees_end (&parser))
+  while (!next_is_end (&parser))
     {
       object_parse (&parser, changes);
       cl_parser_accept_symbol (&parser, ";");
--- a/ctl/http.c
+++ b/ctl/http.c
@@ -12,11 +12,11 @@
 #include "kernel/event_runtime.h"
 
 /* Larger than the rows of 10,000 engines; bounds the memory used by an endless answer. */
-#define ANSWER_LIMIT ((gssize)64 * 1024 * 1024)
+#define MAX_ANSWER_BYTES ((gssize)64 * 1024 * 1024)
 
 /* Calls made concurrently. High enough that thousands of entries are queried in seconds and that
  * entries which don't answer time out in parallel; low enough for the limit on file descriptors. */
-#define CONNECTIONS_LIMIT 64
+#define MAX_CONNECTIONS 64
 
 typedef struct
 {
@@ -24,12 +24,12 @@
   struct event_base *base;
   KnlRuntime *runtime;
   KnlKernel *kernel;
-} Http;
+} HttpTransport;
 
 /* Calls that are made concurrently. */
 typedef struct
 {
-  Http *http;
+  HttpTransport *http;
   const ClCall *calls;
   ClReply **replies;
   guint count;
@@ -43,7 +43,7 @@
   const ClCall *call;
   ClReply *reply;
   struct evhttp_connection *connection;
-  KnlTimerId limit;
+  KnlTimerId timer;
   gboolean failed; /* after the connection was established */
 } Exchange;
 
@@ -65,7 +65,7 @@
   Exchange *exchange = data;
   Batch *batch = exchange->batch;
 
-  knl_timer_stop (batch->http->kernel, &exchange->limit);
+  knl_timer_stop (batch->http->kernel, &exchange->timer);
   if (exchange->connection != NULL)
     evhttp_connection_free (exchange->connection);
   g_free (exchange);
@@ -77,12 +77,12 @@
 
 /* Deferred to a timer, because a connection must not be freed inside its own callback. */
 static void
-exchange_end_soon (Exchange *exchange)
+exchange_schedule_end (Exchange *exchange)
 {
   KnlKernel *kernel = exchange->batch->http->kernel;
 
-  knl_timer_stop (kernel, &exchange->limit);
-  exchange->limit = knl_timer_start (kernel, 0, exchange_end, exchange);
+  knl_timer_stop (kernel, &exchange->timer);
+  exchange->timer = knl_timer_start (kernel, 0, exchange_end, exchange);
 }
 
 static void
@@ -115,7 +115,7 @@
       reply->state = CL_REPLY_LOST;
       reply->problem = g_strdup ("the connection ended without an answer");
     }
-  exchange_end_soon (exchange);
+  exchange_schedule_end (exchange);
 }
 
 static gboolean
@@ -171,7 +171,7 @@
 exchange_start (Batch *batch, guint index)
 {
   Exchange *exchange = g_new0 (Exchange, 1);
-  Http *http = batch->http;
+  HttpTransport *http = batch->http;
   char *host = NULL;
   guint16 port;
 
@@ -182,16 +182,16 @@
   if (!cm_address_parse (exchange->call->address, &host, &port))
     {
       exchange->reply->problem = g_strdup ("the address is not of the form IP:PORT");
-      exchange_end_soon (exchange);
+      exchange_schedule_end (exchange);
       return;
     }
   exchange->connection = evhttp_connection_base_new (http->base, NULL, host, port);
-  evhttp_connection_set_max_body_size (exchange->connection, ANSWER_LIMIT);
-  exchange->limit = knl_timer_start (http->kernel, exchange->call->timeout, on_limit, exchange);
+  evhttp_connection_set_max_body_size (exchange->connection, MAX_ANSWER_BYTES);
+  exchange->timer = knl_timer_start (http->kernel, exchange->call->timeout, on_limit, exchange);
   if (!exchange_send (exchange))
     {
       exchange->reply->problem = g_strdup ("no connection");
-      exchange_end_soon (exchange);
+      exchange_schedule_end (exchange);
     }
   g_free (host);
 }
@@ -199,14 +199,14 @@
 static void
 batch_fill (Batch *batch)
 {
-  while (batch->started < batch->count && batch->started - batch->ended < CONNECTIONS_LIMIT)
+  while (batch->started < batch->count && batch->started - batch->ended < MAX_CONNECTIONS)
     exchange_start (batch, batch->started++);
 }
 
 static void
 http_call (ClTransport *transport, const ClCall *calls, guint count, ClReply **replies)
 {
-  Http *http = (Http *)transport;
+  HttpTransport *http = (HttpTransport *)transport;
   Batch batch = { .http = http, .calls = calls, .replies = replies, .count = count };
 
   batch_fill (&batch);
@@ -225,7 +225,7 @@
 static void
 http_pause (ClTransport *transport, KnlTime time)
 {
-  Http *http = (Http *)transport;
+  HttpTransport *http = (HttpTransport *)transport;
   gboolean over = FALSE;
 
   knl_timer_start (http->kernel, time, on_pause_over, &over);
@@ -236,13 +236,13 @@
 static KnlTime
 http_now (ClTransport *transport)
 {
-  return knl_kernel_now (((Http *)transport)->kernel);
+  return knl_kernel_now (((HttpTransport *)transport)->kernel);
 }
 
 static void
 http_destroy (ClTransport *transport)
 {
-  Http *http = (Http *)transport;
+  HttpTransport *http = (HttpTransport *)transport;
 
   knl_kernel_free (http->kernel);
   knl_event_runtime_free (http->runtime);
@@ -260,7 +260,7 @@
 ClTransport *
 cl_http_new (void)
 {
-  Http *http = g_new0 (Http, 1);
+  HttpTransport *http = g_new0 (HttpTransport, 1);
 
   http->transport.klass = &http_class;
   http->base = event_base_new ();
--- a/ctl/lexer.c
+++ b/ctl/lexer.c
@@ -4,7 +4,7 @@
 
 typedef struct
 {
-  const char *at;
+  const char *cursor;
   guint line;
   guint column;
   ClLexMode mode;
@@ -22,14 +22,14 @@
 static void
 lexer_advance (Lexer *lexer)
 {
-  if (*lexer->at == '\n')
+  if (*lexer->cursor == '\n')
     {
       lexer->line++;
       lexer->column = 1;
     }
   else
     lexer->column++;
-  lexer->at = g_utf8_next_char (lexer->at);
+  lexer->cursor = g_utf8_next_char (lexer->cursor);
 }
 
 /* Takes ownership of `text`. */
@@ -44,22 +44,22 @@
 static void
 lexer_skip_comment (Lexer *lexer)
 {
-  while (*lexer->at != '\0' && *lexer->at != '\n')
+  while (*lexer->cursor != '\0' && *lexer->cursor != '\n')
     lexer_advance (lexer);
 }
 
 static void
 lexer_escape (Lexer *lexer, GString *text)
 {
-  static const char names[] = "nt\\\"'";
-  static const char meanings[] = "\n\t\\\"'";
+  static const char escape_letters[] = "nt\\\"'";
+  static const char escape_values[] = "\n\t\\\"'";
   const char *found;
 
-  if (*lexer->at == '\0' || *lexer->at == '\n')
+  if (*lexer->cursor == '\0' || *lexer->cursor == '\n')
     return;
-  found = strchr (names, *lexer->at);
+  found = strchr (escape_letters, *lexer->cursor);
   if (found != NULL)
-    g_string_append_c (text, meanings[found - names]);
+    g_string_append_c (text, escape_values[found - escape_letters]);
   else
     cm_findings_add (lexer->findings, lexer->source, lexer->line, lexer->column, NULL,
                      "there is no such escape; known are \\n \\t \\\\ \\\" \\'");
@@ -69,23 +69,23 @@
 static void
 lexer_string (Lexer *lexer)
 {
-  char quote = *lexer->at;
+  char quote = *lexer->cursor;
   guint line = lexer->line;
   guint column = lexer->column;
   GString *text = g_string_new (NULL);
 
   lexer_advance (lexer);
-  while (*lexer->at != quote && *lexer->at != '\0' && *lexer->at != '\n')
+  while (*lexer->cursor != quote && *lexer->cursor != '\0' && *lexer->cursor != '\n')
     {
-      const char *start = lexer->at;
+      const char *start = lexer->cursor;
 
       lexer_advance (lexer);
       if (*start == '\\')
         lexer_escape (lexer, text);
       else
-        g_string_append_len (text, start, lexer->at - start);
+        g_string_append_len (text, start, lexer->cursor - start);
     }
-  if (*lexer->at == quote)
+  if (*lexer->cursor == quote)
     lexer_advance (lexer);
   else
     cm_findings_add (lexer->findings, lexer->source, line, column, NULL,
@@ -94,21 +94,22 @@
 }
 
 static gboolean
-is_word_character (const char *at)
+is_word_character (const char *cursor)
 {
-  return (guchar)*at > ' ' && *at != 0x7f && strchr ("\"'#=!<>{}[](),;", *at) == NULL;
+  return (guchar)*cursor > ' ' && *cursor != 0x7f && strchr ("\"'#=!<>{}[](),;", *cursor) == NULL;
 }
 
 static void
 lexer_word (Lexer *lexer)
 {
-  const char *start = lexer->at;
+  const char *start = lexer->cursor;
   guint line = lexer->line;
   guint column = lexer->column;
 
-  while (*lexer->at != '\0' && is_word_character (lexer->at))
+  while (*lexer->cursor != '\0' && is_word_character (lexer->cursor))
     lexer_advance (lexer);
-  lexer_push (lexer, CL_TOKEN_WORD, g_strndup (start, (gsize)(lexer->at - start)), line, column);
+  lexer_push (lexer, CL_TOKEN_WORD, g_strndup (start, (gsize)(lexer->cursor - start)), line,
+              column);
 }
 
 static gboolean
@@ -119,7 +120,7 @@
 
   for (guint i = 0; i < G_N_ELEMENTS (symbols); i++)
     {
-      if (!g_str_has_prefix (lexer->at, symbols[i]))
+      if (!g_str_has_prefix (lexer->cursor, symbols[i]))
         continue;
       lexer_push (lexer, CL_TOKEN_SYMBOL, g_strdup (symbols[i]), lexer->line, lexer->column);
       for (gsize k = strlen (symbols[i]); k > 0; k--)
@@ -132,7 +133,7 @@
 static void
 lexer_step (Lexer *lexer)
 {
-  char c = *lexer->at;
+  char c = *lexer->cursor;
 
   if (c == '\n' && lexer->mode == CL_LEX_COMMANDS)
     lexer_push (lexer, CL_TOKEN_NEWLINE, g_strdup ("\n"), lexer->line, lexer->column);
@@ -144,7 +145,7 @@
     lexer_string (lexer);
   else if (lexer_symbol (lexer))
     return;
-  else if (is_word_character (lexer->at))
+  else if (is_word_character (lexer->cursor))
     lexer_word (lexer);
   else
     {
@@ -164,8 +165,8 @@
   g_array_set_clear_func (lexer.tokens, token_clear);
   if (!g_utf8_validate (text, -1, NULL))
     cm_findings_add (findings, source, 0, 0, NULL, "is not UTF-8 throughout");
-  lexer.at = valid;
-  while (*lexer.at != '\0')
+  lexer.cursor = valid;
+  while (*lexer.cursor != '\0')
     lexer_step (&lexer);
   lexer_push (&lexer, CL_TOKEN_END, g_strdup (""), lexer.line, lexer.column);
   g_free (valid);
--- a/ctl/main.c
+++ b/ctl/main.c
@@ -11,7 +11,7 @@
 #include "ctl/output.h"
 
 /* Limits the input read from a file without an end, such as a device. */
-#define INPUT_LIMIT ((gsize)16 * 1024 * 1024)
+#define MAX_INPUT_BYTES ((gsize)16 * 1024 * 1024)
 
 typedef struct
 {
@@ -24,7 +24,7 @@
   gint64 call_timeout_ms;
 } Settings;
 
-static const CmSetting table[] = {
+static const CmSetting setting_table[] = {
   { .name = "controller-address",
     .type = CM_SETTING_STRING,
     .offset = offsetof (Settings, controllers),
@@ -76,7 +76,7 @@
 typedef struct
 {
   ClLoader loader;
-  gboolean *stdin_taken;
+  gboolean *stdin_consumed;
 } FileLoader;
 
 static char *
@@ -86,12 +86,12 @@
   char buffer[4096];
   gsize got;
 
-  while ((got = fread (buffer, 1, sizeof buffer, stream)) > 0 && text->len <= INPUT_LIMIT)
+  while ((got = fread (buffer, 1, sizeof buffer, stream)) > 0 && text->len <= MAX_INPUT_BYTES)
     g_string_append_len (text, buffer, (gssize)got);
   if (ferror (stream))
     *problem = g_strdup (g_strerror (errno));
-  else if (text->len > INPUT_LIMIT)
-    *problem = g_strdup_printf ("it is longer than %" G_GSIZE_FORMAT " bytes", INPUT_LIMIT);
+  else if (text->len > MAX_INPUT_BYTES)
+    *problem = g_strdup_printf ("it is longer than %" G_GSIZE_FORMAT " bytes", MAX_INPUT_BYTES);
   else if (strlen (text->str) != text->len)
     *problem = g_strdup ("it has NUL characters");
   return g_string_free (text, *problem != NULL);
@@ -106,12 +106,12 @@
 
   if (strcmp (path, "-") == 0)
     {
-      if (*self->stdin_taken)
+      if (*self->stdin_consumed)
         {
           *problem = g_strdup ("standard input has been read already");
           return NULL;
         }
-      *self->stdin_taken = TRUE;
+      *self->stdin_consumed = TRUE;
       return stream_read (stdin, problem);
     }
   stream = fopen (path, "re");
@@ -213,11 +213,12 @@
 }
 
 static int
-run (const Settings *settings, char **words, gboolean check, CmFindings *findings)
+run (const Settings *settings, char **arguments, gboolean check, CmFindings *findings)
 {
-  gboolean from_stdin = words[0] != NULL && words[1] == NULL && strcmp (words[0], "-") == 0;
-  gboolean stdin_taken = from_stdin;
-  FileLoader loader = { .loader.load = file_load, .stdin_taken = &stdin_taken };
+  gboolean from_stdin =
+      arguments[0] != NULL && arguments[1] == NULL && strcmp (arguments[0], "-") == 0;
+  gboolean stdin_consumed = from_stdin;
+  FileLoader loader = { .loader.load = file_load, .stdin_consumed = &stdin_consumed };
   ClSession session = {
     .token = settings->token,
     .by = settings->by != NULL ? settings->by : g_get_user_name (),
@@ -226,7 +227,7 @@
     .call_timeout = settings->call_timeout_ms * KNL_MSEC,
   };
   char *problem = NULL;
-  char *text = from_stdin ? stream_read (stdin, &problem) : g_strjoinv (" ", words);
+  char *text = from_stdin ? stream_read (stdin, &problem) : g_strjoinv (" ", arguments);
   GPtrArray *commands;
   int status;
 
@@ -260,7 +261,7 @@
 main (int argc, char **argv)
 {
   Settings settings = { 0 };
-  char **words = NULL;
+  char **arguments = NULL;
   CmFindings findings;
   CmSettingsAction action;
   int status = CL_DONE;
@@ -270,16 +271,16 @@
   signal (SIGPIPE, SIG_IGN);
   cm_findings_init (&findings);
   action =
-      cm_settings_parse (table,
+      cm_settings_parse (setting_table,
                          "COMMAND [; COMMAND ...], or - to read commands, one a line.\n"
                          "Commands: apply, drain, help, remove, set, show, undrain, wait, why.",
-                         argc, argv, &settings, &words, &findings);
+                         argc, argv, &settings, &arguments, &findings);
   if (cm_findings_count (&findings) > 0)
     status = print_findings (&findings, settings.json);
-  else if (action == CM_SETTINGS_RUN || (action == CM_SETTINGS_CHECK && words[0] != NULL))
-    status = run (&settings, words, action == CM_SETTINGS_CHECK, &findings);
-  cm_settings_clear (table, &settings);
+  else if (action == CM_SETTINGS_RUN || (action == CM_SETTINGS_CHECK && arguments[0] != NULL))
+    status = run (&settings, arguments, action == CM_SETTINGS_CHECK, &findings);
+  cm_settings_clear (setting_table, &settings);
   cm_findings_clear (&findings);
-  g_strfreev (words);
+  g_strfreev (arguments);
   return status;
 }
--- a/ctl/output.c
+++ b/ctl/output.c
@@ -58,7 +58,7 @@
 printable_cell (const json_t *row, const char *column)
 {
   const json_t *cell = json_object_get (row, column);
-  char *text = cell != NULL ? cl_cell_text (cell) : g_strdup ("-");
+  char *text = cell != NULL ? cl_cell_to_text (cell) : g_strdup ("-");
 
   for (char *c = text; *c != '\0'; c++)
     {
--- a/ctl/parser.c
+++ b/ctl/parser.c
@@ -6,7 +6,7 @@
 const ClToken *
 cl_parser_peek (const ClParser *parser)
 {
-  return &g_array_index (parser->tokens, ClToken, parser->at);
+  return &g_array_index (parser->tokens, ClToken, parser->position);
 }
 
 const ClToken *
@@ -15,12 +15,12 @@
   const ClToken *token = cl_parser_peek (parser);
 
   if (token->type != CL_TOKEN_END)
-    parser->at++;
+    parser->position++;
   return token;
 }
 
 static gboolean
-sees (const ClParser *parser, ClTokenType type, const char *text)
+next_is (const ClParser *parser, ClTokenType type, const char *text)
 {
   const ClToken *token = cl_parser_peek (parser);
 
@@ -28,21 +28,21 @@
 }
 
 gboolean
-cl_parser_sees_symbol (const ClParser *parser, const char *symbol)
+cl_parser_next_is_symbol (const ClParser *parser, const char *symbol)
 {
-  return sees (parser, CL_TOKEN_SYMBOL, symbol);
+  return next_is (parser, CL_TOKEN_SYMBOL, symbol);
 }
 
 gboolean
-cl_parser_sees_word (const ClParser *parser, const char *word)
+cl_parser_next_is_word (const ClParser *parser, const char *word)
 {
-  return sees (parser, CL_TOKEN_WORD, word);
+  return next_is (parser, CL_TOKEN_WORD, word);
 }
 
 gboolean
 cl_parser_accept_symbol (ClParser *parser, const char *symbol)
 {
-  if (!cl_parser_sees_symbol (parser, symbol))
+  if (!cl_parser_next_is_symbol (parser, symbol))
     return FALSE;
   cl_parser_next (parser);
   return TRUE;
@@ -51,43 +51,43 @@
 gboolean
 cl_parser_accept_word (ClParser *parser, const char *word)
 {
-  if (!cl_parser_sees_word (parser, word))
+  if (!cl_parser_next_is_word (parser, word))
     return FALSE;
   cl_parser_next (parser);
   return TRUE;
 }
 
 static void
-finding_expected (ClParser *parser, const char *what)
+finding_expected (ClParser *parser, const char *expected)
 {
   const ClToken *token = cl_parser_peek (parser);
 
   if (token->type == CL_TOKEN_END || token->type == CL_TOKEN_NEWLINE)
-    cl_parser_finding (parser, token, "%s is missing", what);
+    cl_parser_finding (parser, token, "%s is missing", expected);
   else
-    cl_parser_finding (parser, token, "%s was expected before \"%s\"", what, token->text);
+    cl_parser_finding (parser, token, "%s was expected before \"%s\"", expected, token->text);
 }
 
 const ClToken *
-cl_parser_expect_text (ClParser *parser, const char *what)
+cl_parser_expect_text (ClParser *parser, const char *expected)
 {
   const ClToken *token = cl_parser_peek (parser);
 
   if (token->type == CL_TOKEN_WORD || token->type == CL_TOKEN_STRING)
     return cl_parser_next (parser);
-  finding_expected (parser, what);
+  finding_expected (parser, expected);
   return NULL;
 }
 
 gboolean
 cl_parser_expect_symbol (ClParser *parser, const char *symbol)
 {
-  char what[8];
+  char expected[8];
 
   if (cl_parser_accept_symbol (parser, symbol))
     return TRUE;
-  g_snprintf (what, sizeof what, "\"%s\"", symbol);
-  finding_expected (parser, what);
+  g_snprintf (expected, sizeof expected, "\"%s\"", symbol);
+  finding_expected (parser, expected);
   return FALSE;
 }
 
@@ -97,7 +97,7 @@
   const ClToken *token = cl_parser_peek (parser);
 
   return token->type == CL_TOKEN_END || token->type == CL_TOKEN_NEWLINE
-         || cl_parser_sees_symbol (parser, ";");
+         || cl_parser_next_is_symbol (parser, ";");
 }
 
 void
--- a/ctl/query.c
+++ b/ctl/query.c
@@ -122,7 +122,7 @@
     {
       const ClToken *token = cl_parser_next (parser);
       int index = clause_find (token);
-      guint before = cm_findings_count (parser->findings);
+      guint findings_before = cm_findings_count (parser->findings);
 
       if (index < 0)
         cl_parser_finding (parser, token, "\"%s\" is none of where, columns, order by, limit",
@@ -134,7 +134,7 @@
           seen |= 1u << index;
           clauses[index].parse (parser, query);
         }
-      if (cm_findings_count (parser->findings) > before)
+      if (cm_findings_count (parser->findings) > findings_before)
         skip_to_clause (parser);
     }
 }
@@ -143,14 +143,14 @@
 cl_query_parse (ClParser *parser)
 {
   ClQuery *query = g_new0 (ClQuery, 1);
-  guint before = cm_findings_count (parser->findings);
+  guint findings_before = cm_findings_count (parser->findings);
 
   query->limit = G_MAXUINT64;
   query->table = table_parse (parser);
   if (!cl_parser_at_end (parser) && query->table == NULL)
     skip_to_clause (parser);
   clauses_parse (parser, query);
-  if (cm_findings_count (parser->findings) == before)
+  if (cm_findings_count (parser->findings) == findings_before)
     return query;
   cl_query_free (query);
   return NULL;
@@ -179,8 +179,8 @@
            - (json_number_value (a) < json_number_value (b));
   if (json_is_number (a) != json_is_number (b))
     return json_is_number (a) ? -1 : 1;
-  text_a = cl_cell_text (a);
-  text_b = cl_cell_text (b);
+  text_a = cl_cell_to_text (a);
+  text_b = cl_cell_to_text (b);
   order = strcmp (text_a, text_b);
   g_free (text_a);
   g_free (text_b);
--- a/ctl/session.c
+++ b/ctl/session.c
@@ -4,16 +4,16 @@
 
 #include "ctl/change.h"
 
-#define HTTP_OK          200
-#define HTTP_UNAVAILABLE 503
-#define HTTP_CONFLICT    409
-#define HTTP_INVALID     422
+#define HTTP_OK            200
+#define HTTP_UNAVAILABLE   503
+#define HTTP_CONFLICT      409
+#define HTTP_UNPROCESSABLE 422
 
-#define BACKOFF_FIRST (100 * KNL_MSEC)
-#define BACKOFF_LIMIT (2 * KNL_SEC)
+#define BACKOFF_INITIAL (100 * KNL_MSEC)
+#define BACKOFF_MAX     (2 * KNL_SEC)
 
 static const char *
-text_of (const json_t *object, const char *name)
+string_member (const json_t *object, const char *name)
 {
   const char *text = json_string_value (json_object_get (object, name));
 
@@ -27,8 +27,8 @@
   const json_t *error = json_object_get (reply->body, "error");
 
   if (json_is_object (error))
-    return text_of (error, "message");
-  return error != NULL ? text_of (reply->body, "error") : "no reason given";
+    return string_member (error, "message");
+  return error != NULL ? string_member (reply->body, "error") : "no reason given";
 }
 
 ClResult *
@@ -41,7 +41,7 @@
   if (reply->status >= 400 && reply->status < 500)
     return cl_result_new (CL_REFUSED, "%s refused (%d): %s", address, reply->status,
                           error_text (reply));
-  if (strcmp (text_of (reply->body, "outcome"), "not-run") == 0)
+  if (strcmp (string_member (reply->body, "outcome"), "not-run") == 0)
     return cl_result_new (CL_NOT_RUN, "%s did not run it (%d): %s", address, reply->status,
                           error_text (reply));
   return cl_result_new (CL_UNKNOWN, "%s failed (%d): %s", address, reply->status,
@@ -64,7 +64,7 @@
 }
 
 void
-cl_session_ask_all (ClSession *session,
+cl_session_get_all (ClSession *session,
                     const char *const *addresses,
                     guint count,
                     const char *path,
@@ -94,7 +94,7 @@
 }
 
 json_t *
-cl_session_get (ClSession *session, const char *path, KnlTime patience, ClResult **failure)
+cl_session_get (ClSession *session, const char *path, KnlTime extra_timeout, ClResult **failure)
 {
   ClResult *last = NULL;
 
@@ -102,8 +102,8 @@
     return NULL;
   for (guint i = 0; session->addresses[i] != NULL; i++)
     {
-      ClReply *reply =
-          session_get_once (session, session->addresses[i], path, session->call_timeout + patience);
+      ClReply *reply = session_get_once (session, session->addresses[i], path,
+                                         session->call_timeout + extra_timeout);
 
       if (reply->state == CL_REPLY_ANSWERED && reply->status == HTTP_OK && reply->body != NULL)
         {
@@ -134,44 +134,44 @@
   KnlTime deadline;
   gboolean dry_run;
   gboolean uncertain; /* an earlier attempt may have taken effect */
-} Application;
+} ApplyOperation;
 
 static void
-application_init (Application *application,
-                  ClSession *session,
-                  const GPtrArray *changes,
-                  gboolean dry_run)
+apply_operation_init (ApplyOperation *apply,
+                      ClSession *session,
+                      const GPtrArray *changes,
+                      gboolean dry_run)
 {
   json_t *json;
   char *raw;
 
-  *application = (Application){ .session = session, .changes = changes, .dry_run = dry_run };
-  application->deadline = session->transport->klass->now (session->transport) + session->timeout;
+  *apply = (ApplyOperation){ .session = session, .changes = changes, .dry_run = dry_run };
+  apply->deadline = session->transport->klass->now (session->transport) + session->timeout;
   if (session->operation == NULL)
-    application->operation = g_uuid_string_random ();
+    apply->operation = g_uuid_string_random ();
   else if (session->changes == 0)
-    application->operation = g_strdup (session->operation);
+    apply->operation = g_strdup (session->operation);
   else
-    application->operation = g_strdup_printf ("%s.%u", session->operation, session->changes + 1);
+    apply->operation = g_strdup_printf ("%s.%u", session->operation, session->changes + 1);
   session->changes++;
-  json = json_pack ("{s:s, s:s, s:o, s:b}", "operation", application->operation, "by", session->by,
+  json = json_pack ("{s:s, s:s, s:o, s:b}", "operation", apply->operation, "by", session->by,
                     "changes", cl_changes_to_json (changes), "dry_run", dry_run);
   raw = json_dumps (json, JSON_COMPACT);
-  application->body = g_strdup (raw);
+  apply->body = g_strdup (raw);
   free (raw);
   json_decref (json);
 }
 
 static void
-application_clear (Application *application)
+apply_operation_clear (ApplyOperation *apply)
 {
-  g_free (application->operation);
-  g_free (application->body);
+  g_free (apply->operation);
+  g_free (apply->body);
 }
 
 /* The controller's findings refer to changes by index; converts the index to a source location. */
 static ClResult *
-result_refused (const Application *application, const ClReply *reply)
+result_refused (const ApplyOperation *apply, const ClReply *reply)
 {
   ClResult *result = cl_result_new (CL_REFUSED, "refused; nothing was changed");
   size_t index;
@@ -182,14 +182,14 @@
     json_int_t number = json_integer_value (json_object_get (finding, "index"));
     const char *where = json_string_value (json_object_get (finding, "where"));
     const ClChange *change = NULL;
-    ClPlace place = { 0, 0 };
+    ClLocation location = { 0, 0 };
 
-    if (number >= 0 && number < (json_int_t)application->changes->len)
-      change = g_ptr_array_index (application->changes, (guint)number);
+    if (number >= 0 && number < (json_int_t)apply->changes->len)
+      change = g_ptr_array_index (apply->changes, (guint)number);
     if (change != NULL)
-      place = cl_change_locate (change, where);
-    cm_findings_add (&result->findings, change != NULL ? change->source : "controller", place.line,
-                     place.column, where, "%s", text_of (finding, "text"));
+      location = cl_change_locate (change, where);
+    cm_findings_add (&result->findings, change != NULL ? change->source : "controller",
+                     location.line, location.column, where, "%s", string_member (finding, "text"));
   }
   return result;
 }
@@ -202,10 +202,10 @@
       cl_result_new (CL_CONFLICT,
                      "conflict on %s %s: revision %" JSON_INTEGER_FORMAT " was expected, it is at "
                      "%" JSON_INTEGER_FORMAT " by operation %s of %s; nothing was changed",
-                     text_of (conflict, "kind"), text_of (conflict, "name"),
+                     string_member (conflict, "kind"), string_member (conflict, "name"),
                      json_integer_value (json_object_get (conflict, "expected")),
                      json_integer_value (json_object_get (conflict, "found")),
-                     text_of (conflict, "operation"), text_of (conflict, "by"));
+                     string_member (conflict, "operation"), string_member (conflict, "by"));
 
   if (conflict != NULL)
     cl_result_set (result, "conflict", json_incref (conflict));
@@ -226,13 +226,13 @@
 
 /* Makes one attempt. The result is final unless its status is CL_NOT_RUN or CL_UNKNOWN. */
 static ClResult *
-application_try (Application *application, const char *address, KnlTime left)
+apply_operation_try (ApplyOperation *apply, const char *address, KnlTime left)
 {
-  ClSession *session = application->session;
+  ClSession *session = apply->session;
   ClCall call = {
     .address = address,
     .path = "/v1/apply",
-    .body = application->body,
+    .body = apply->body,
     .token = session->token,
     .timeout = MIN (session->call_timeout, left),
   };
@@ -246,8 +246,8 @@
     result = result_applied (reply);
   else if (answered && reply->status == HTTP_CONFLICT)
     result = result_conflict (reply);
-  else if (answered && reply->status == HTTP_INVALID)
-    result = result_refused (application, reply);
+  else if (answered && reply->status == HTTP_UNPROCESSABLE)
+    result = result_refused (apply, reply);
   else
     result = cl_result_from_reply (address, reply);
   cl_reply_free (reply);
@@ -263,9 +263,9 @@
 /* Doubles with each round over the addresses. No jitter, as a single client can't cause
  * synchronized retries. */
 static KnlTime
-pause_after_round (guint round)
+backoff_after_round (guint round)
 {
-  return MIN (BACKOFF_FIRST << MIN (round, 10), BACKOFF_LIMIT);
+  return MIN (BACKOFF_INITIAL << MIN (round, 10), BACKOFF_MAX);
 }
 
 /*
@@ -275,60 +275,60 @@
  * can't make the result worse, and an answer may settle it.
  */
 static KnlTime
-application_least (const Application *application)
+apply_operation_min_time (const ApplyOperation *apply)
 {
-  return application->uncertain ? KNL_MSEC : application->session->call_timeout;
+  return apply->uncertain ? KNL_MSEC : apply->session->call_timeout;
 }
 
 static ClResult *
-application_run (Application *application)
+apply_operation_run (ApplyOperation *apply)
 {
-  ClSession *session = application->session;
+  ClSession *session = apply->session;
   ClTransport *transport = session->transport;
   ClResult *result = NULL;
 
   for (guint i = 0;; i++)
     {
       guint count = g_strv_length (session->addresses);
-      KnlTime left = application->deadline - transport->klass->now (transport);
+      KnlTime left = apply->deadline - transport->klass->now (transport);
 
-      if (result != NULL && left < application_least (application))
+      if (result != NULL && left < apply_operation_min_time (apply))
         break;
       cl_result_free (result);
-      result = application_try (application, session->addresses[i % count], MAX (left, KNL_MSEC));
+      result = apply_operation_try (apply, session->addresses[i % count], MAX (left, KNL_MSEC));
       if (is_final (result))
         break;
-      application->uncertain = application->uncertain || result->status == CL_UNKNOWN;
+      apply->uncertain = apply->uncertain || result->status == CL_UNKNOWN;
       if ((i + 1) % count != 0)
         continue;
-      if (application->dry_run)
+      if (apply->dry_run)
         break;
       transport->klass->pause (transport,
-                               MIN (pause_after_round (i / count), MAX (left, KNL_MSEC)));
+                               MIN (backoff_after_round (i / count), MAX (left, KNL_MSEC)));
     }
   /* An attempt whose answer was lost may have changed the configuration; a later "not run" refers
    * to its own attempt only. Reporting CL_NOT_RUN would make the operator repeat the change. */
   if (!is_final (result))
-    result->status = application->uncertain && !application->dry_run ? CL_UNKNOWN : CL_NOT_RUN;
+    result->status = apply->uncertain && !apply->dry_run ? CL_UNKNOWN : CL_NOT_RUN;
   return result;
 }
 
 ClResult *
 cl_session_apply (ClSession *session, const GPtrArray *changes, gboolean dry_run)
 {
-  Application application;
+  ApplyOperation apply;
   ClResult *result = NULL;
 
   if (!session_has_address (session, &result))
     return result;
-  application_init (&application, session, changes, dry_run);
-  result = application_run (&application);
-  cl_result_set (result, "operation", json_string (application.operation));
+  apply_operation_init (&apply, session, changes, dry_run);
+  result = apply_operation_run (&apply);
+  cl_result_set (result, "operation", json_string (apply.operation));
   if (result->status == CL_UNKNOWN)
     cl_result_note (result,
                     "it is unknown whether this took effect; the same command with --operation %s "
                     "finds out and applies it at most once",
-                    application.operation);
-  application_clear (&application);
+                    apply.operation);
+  apply_operation_clear (&apply);
   return result;
 }
--- a/ctl/value.c
+++ b/ctl/value.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 /* 2^53: integers up to this value are exact in a double. */
-#define EXACT_LIMIT 9007199254740992.0
+#define MAX_EXACT_INTEGER 9007199254740992.0
 
 gboolean
 cl_number_parse (const char *text, double *number)
@@ -30,7 +30,7 @@
 static json_t *
 number_to_json (double number)
 {
-  if (rint (number) == number && fabs (number) <= EXACT_LIMIT)
+  if (rint (number) == number && fabs (number) <= MAX_EXACT_INTEGER)
     return json_integer ((json_int_t)number);
   return json_real (number);
 }
--- a/entry/attempt.c
+++ b/entry/attempt.c
@@ -3,24 +3,24 @@
 #include "common/log.h"
 #include "common/retry.h"
 
-#define CONNECT_LIMIT (1 * KNL_SEC)
-#define SILENCE_LIMIT (2 * KNL_SEC)
+#define CONNECT_TIMEOUT (1 * KNL_SEC)
+#define SILENCE_TIMEOUT (2 * KNL_SEC)
 
 /* The stream is silent during the prefill of a long prompt, so each silent resume waits longer. */
-#define SILENCE_LIMIT_MOST (24 * KNL_SEC)
+#define MAX_SILENCE_TIMEOUT (24 * KNL_SEC)
 
-#define RESUME_FIRST (50 * KNL_MSEC)
-#define RESUME_LIMIT (800 * KNL_MSEC)
+#define MIN_RESUME_DELAY (50 * KNL_MSEC)
+#define MAX_RESUME_DELAY (800 * KNL_MSEC)
 
 /* Consecutive connections that failed, were closed or violated the protocol. */
-#define STRIKES_MOST 4
+#define MAX_CONSECUTIVE_FAILURES 4
 
 /* Consecutive unanswered report requests to an engine whose stream is silent. */
-#define PROBES_MOST 2
-#define PROBE_PAUSE (100 * KNL_MSEC)
+#define MAX_UNANSWERED_PROBES 2
+#define PROBE_RETRY_DELAY     (100 * KNL_MSEC)
 
 /* Bounds an attempt at an engine whose connections all break after a few tokens. */
-#define RESUMES_MOST 64
+#define MAX_RESUMES 64
 
 struct EnAttempt
 {
@@ -45,15 +45,15 @@
   KnlTimerId timer;
   CmBackoff backoff;
   KnlTime silence;
-  guint strikes;
-  KnlTime heard_at; /* time of the last event of a stream, or of its start */
-  guint unanswered; /* consecutive probes without a report */
+  guint consecutive_failures;
+  KnlTime last_seen_at;    /* time of the last event of a stream, or of its start */
+  guint unanswered_probes; /* consecutive probes without a report */
   guint resumes;
   gboolean accepted;
-  gboolean sent;          /* a connection may have delivered the request to the engine */
-  gboolean unknown_there; /* the engine reported that it has no such request */
-  gboolean over;          /* no more events */
-  guint depth;            /* nesting of callbacks; the attempt is freed at 0 */
+  gboolean sent;            /* a connection may have delivered the request to the engine */
+  gboolean request_unknown; /* the engine reported that it has no such request */
+  gboolean ended;           /* no more events */
+  guint callback_depth;     /* nesting of callbacks; the attempt is freed at 0 */
 };
 
 static void
@@ -73,7 +73,7 @@
 static void
 stop_work (EnAttempt *self)
 {
-  self->over = TRUE;
+  self->ended = TRUE;
   knl_timer_stop (self->host.kernel, &self->timer);
   ep_call_cancel (self->host.client, &self->probe);
   if (self->stream != NULL)
@@ -82,15 +82,15 @@
 }
 
 static void
-enter (EnAttempt *self)
+enter_callback (EnAttempt *self)
 {
-  self->depth++;
+  self->callback_depth++;
 }
 
 static void
-leave (EnAttempt *self)
+leave_callback (EnAttempt *self)
 {
-  if (--self->depth == 0 && self->over)
+  if (--self->callback_depth == 0 && self->ended)
     attempt_destroy (self);
 }
 
@@ -112,44 +112,44 @@
 void
 en_attempt_abort (EnAttempt *self)
 {
-  if (self->over)
+  if (self->ended)
     return;
-  enter (self);
+  enter_callback (self);
   stop_work (self);
   cancel_at_engine (self);
-  leave (self);
+  leave_callback (self);
 }
 
 static void
-lose (EnAttempt *self, const EnLoss *loss)
+report_loss (EnAttempt *self, const EnLoss *loss)
 {
-  EnLoss told = *loss;
+  EnLoss reported_loss = *loss;
 
-  told.accepted = self->accepted;
+  reported_loss.accepted = self->accepted;
   stop_work (self);
   if (loss->kind == POL_LOSS_NOT_RUN || loss->kind == POL_LOSS_FAILED)
     return_charge (self);
   else
     cancel_at_engine (self);
-  self->events->on_lost (self, &told, self->data);
+  self->events->on_lost (self, &reported_loss, self->data);
 }
 
 static void
-lose_unknown (EnAttempt *self, gboolean crashed, const char *detail)
+report_unknown_loss (EnAttempt *self, gboolean crashed, const char *detail)
 {
   EnLoss loss = { .kind = POL_LOSS_UNKNOWN, .crashed = crashed, .detail = detail };
 
-  lose (self, &loss);
+  report_loss (self, &loss);
 }
 
 void
 en_attempt_engine_restarted (EnAttempt *self)
 {
-  if (self->over)
+  if (self->ended)
     return;
-  enter (self);
-  lose_unknown (self, TRUE, "the engine restarted");
-  leave (self);
+  enter_callback (self);
+  report_unknown_loss (self, TRUE, "the engine restarted");
+  leave_callback (self);
 }
 
 static void
@@ -157,13 +157,13 @@
 {
   EnAttempt *self = data;
 
-  self->heard_at = knl_kernel_now (self->host.kernel);
+  self->last_seen_at = knl_kernel_now (self->host.kernel);
   if (self->accepted)
     return;
   self->accepted = TRUE;
-  enter (self);
+  enter_callback (self);
   self->events->on_accepted (self, self->data);
-  leave (self);
+  leave_callback (self);
 }
 
 static void
@@ -174,22 +174,22 @@
   guint fresh_count;
   guint64 fresh_offset = self->progress->tokens;
 
-  enter (self);
-  self->strikes = 0;
-  self->unanswered = 0;
-  self->heard_at = knl_kernel_now (self->host.kernel);
-  self->silence = SILENCE_LIMIT;
+  enter_callback (self);
+  self->consecutive_failures = 0;
+  self->unanswered_probes = 0;
+  self->last_seen_at = knl_kernel_now (self->host.kernel);
+  self->silence = SILENCE_TIMEOUT;
   cm_backoff_reset (&self->backoff);
   cm_invariant (offset == self->replay.tokens, "a stream's offsets are consecutive");
-  if (!en_replay_take (&self->replay, self->progress, count, text, &fresh, &fresh_count))
+  if (!en_replay_add (&self->replay, self->progress, count, text, &fresh, &fresh_count))
     {
       EnLoss loss = { .kind = POL_LOSS_MISMATCH, .detail = "another engine's answer differs" };
 
-      lose (self, &loss);
+      report_loss (self, &loss);
     }
   else if (fresh_count > 0)
     self->events->on_tokens (self, fresh_offset, fresh_count, fresh, self->data);
-  leave (self);
+  leave_callback (self);
 }
 
 static void
@@ -197,7 +197,7 @@
 {
   EnAttempt *self = data;
 
-  enter (self);
+  enter_callback (self);
   self->stream = NULL;
   if (self->generate.hold)
     self->events->on_end (self, count, finish, self->data);
@@ -205,7 +205,7 @@
     {
       EnLoss loss = { .kind = POL_LOSS_MISMATCH, .detail = "the answer ended too soon" };
 
-      lose (self, &loss);
+      report_loss (self, &loss);
     }
   else
     {
@@ -213,20 +213,20 @@
       return_charge (self);
       self->events->on_end (self, count, finish, self->data);
     }
-  leave (self);
+  leave_callback (self);
 }
 
 static void start_stream (gpointer data);
-static void on_probed (const EpReport *report, gpointer data);
+static void on_probe_report (const EpReport *report, gpointer data);
 
 static void
 schedule_resume (EnAttempt *self)
 {
   KnlKernel *kernel = self->host.kernel;
 
-  if (self->strikes >= STRIKES_MOST || ++self->resumes > RESUMES_MOST)
+  if (self->consecutive_failures >= MAX_CONSECUTIVE_FAILURES || ++self->resumes > MAX_RESUMES)
     {
-      lose_unknown (self, FALSE, "the engine went silent");
+      report_unknown_loss (self, FALSE, "the engine went silent");
       return;
     }
   self->timer =
@@ -239,7 +239,7 @@
   EnAttempt *self = data;
 
   self->timer = 0;
-  self->probe = ep_client_report (self->host.client, self->address, on_probed, self);
+  self->probe = ep_client_report (self->host.client, self->address, on_probe_report, self);
 }
 
 /*
@@ -247,12 +247,12 @@
  * stopped or unreachable, and the caller needn't wait for it.
  */
 static void
-probe_unanswered (EnAttempt *self)
+handle_unanswered_probe (EnAttempt *self)
 {
-  if (++self->unanswered >= PROBES_MOST)
-    lose_unknown (self, FALSE, "the engine went silent");
+  if (++self->unanswered_probes >= MAX_UNANSWERED_PROBES)
+    report_unknown_loss (self, FALSE, "the engine went silent");
   else
-    self->timer = knl_timer_start (self->host.kernel, PROBE_PAUSE, probe, self);
+    self->timer = knl_timer_start (self->host.kernel, PROBE_RETRY_DELAY, probe, self);
 }
 
 /*
@@ -260,59 +260,60 @@
  * connection may be lost. A report over another connection tells these cases apart.
  */
 static void
-on_probed (const EpReport *report, gpointer data)
+on_probe_report (const EpReport *report, gpointer data)
 {
   EnAttempt *self = data;
 
-  enter (self);
+  enter_callback (self);
   self->probe = 0;
   if (report != NULL)
-    en_fleet_saw_incarnation (self->host.fleet, self->endpoint, report->incarnation);
-  if (self->over)
+    en_fleet_note_incarnation (self->host.fleet, self->endpoint, report->incarnation);
+  if (self->ended)
     {
-      leave (self);
+      leave_callback (self);
       return;
     }
   if (report == NULL)
-    probe_unanswered (self);
+    handle_unanswered_probe (self);
   else if (self->incarnation != 0 && report->incarnation != self->incarnation)
-    lose_unknown (self, TRUE, "the engine restarted");
-  else if (self->unknown_there)
-    lose_unknown (self, FALSE, "the engine has lost the request");
+    report_unknown_loss (self, TRUE, "the engine restarted");
+  else if (self->request_unknown)
+    report_unknown_loss (self, FALSE, "the engine has lost the request");
   else
     {
       self->incarnation = report->incarnation;
-      self->strikes = 0;
-      self->unanswered = 0;
-      self->silence = MIN (self->silence * 2, SILENCE_LIMIT_MOST);
+      self->consecutive_failures = 0;
+      self->unanswered_probes = 0;
+      self->silence = MIN (self->silence * 2, MAX_SILENCE_TIMEOUT);
       schedule_resume (self);
     }
-  leave (self);
+  leave_callback (self);
 }
 
 static gboolean
-went_silent (const EnAttempt *self)
+is_silent (const EnAttempt *self)
 {
-  return knl_kernel_now (self->host.kernel) - self->heard_at >= self->silence;
+  return knl_kernel_now (self->host.kernel) - self->last_seen_at >= self->silence;
 }
 
 static void
-resume_failed (EnAttempt *self, const EpFailure *failure)
+handle_resume_failure (EnAttempt *self, const EpFailure *failure)
 {
   if (failure->kind == EP_REFUSED)
     {
       /* The engine has no such request: it restarted, or its hold time has expired. */
-      self->unknown_there = TRUE;
+      self->request_unknown = TRUE;
       probe (self);
     }
-  else if (failure->kind == EP_CUT && went_silent (self))
+  else if (failure->kind == EP_CUT && is_silent (self))
     probe (self);
-  else if (failure->kind == EP_NOT_SENT && self->strikes + 1 >= STRIKES_MOST)
-    lose_unknown (self, TRUE, "the engine can't be reached");
+  else if (failure->kind == EP_NOT_SENT
+           && self->consecutive_failures + 1 >= MAX_CONSECUTIVE_FAILURES)
+    report_unknown_loss (self, TRUE, "the engine can't be reached");
   else
     {
       /* A connection that was closed or violated the protocol says nothing about the engine. */
-      self->strikes++;
+      self->consecutive_failures++;
       schedule_resume (self);
     }
 }
@@ -324,24 +325,24 @@
   EnLoss loss = { .leaving = failure->leaving, .detail = failure->detail };
   gboolean first = !self->sent;
 
-  enter (self);
+  enter_callback (self);
   self->stream = NULL;
   if (failure->kind != EP_NOT_SENT)
     self->sent = TRUE;
   if (failure->kind == EP_FAILED)
     {
       loss.kind = POL_LOSS_FAILED;
-      lose (self, &loss);
+      report_loss (self, &loss);
     }
   else if (first && (failure->kind == EP_NOT_SENT || failure->kind == EP_REFUSED))
     {
       loss.kind = POL_LOSS_NOT_RUN;
       loss.refused = failure->kind == EP_REFUSED;
-      lose (self, &loss);
+      report_loss (self, &loss);
     }
   else
-    resume_failed (self, failure);
-  leave (self);
+    handle_resume_failure (self, failure);
+  leave_callback (self);
 }
 
 static const EpStreamEvents stream_events = {
@@ -358,10 +359,10 @@
   KnlTime left = MAX (self->deadline - knl_kernel_now (self->host.kernel), KNL_MSEC);
 
   self->timer = 0;
-  self->heard_at = knl_kernel_now (self->host.kernel);
+  self->last_seen_at = knl_kernel_now (self->host.kernel);
   self->generate.resume = self->sent;
   self->generate.from_offset = self->replay.tokens;
-  self->generate.connect_limit = MIN (CONNECT_LIMIT, left);
+  self->generate.connect_limit = MIN (CONNECT_TIMEOUT, left);
   self->generate.first_limit = self->silence;
   self->generate.idle_limit = self->silence;
   self->stream = ep_client_generate (self->host.client, &self->generate, &stream_events, self);
@@ -411,8 +412,8 @@
   self->address = g_strdup (endpoint->address);
   self->incarnation = endpoint->incarnation;
   self->charge = charge;
-  self->silence = SILENCE_LIMIT;
-  self->backoff = (CmBackoff){ .first = RESUME_FIRST, .limit = RESUME_LIMIT };
+  self->silence = SILENCE_TIMEOUT;
+  self->backoff = (CmBackoff){ .first = MIN_RESUME_DELAY, .limit = MAX_RESUME_DELAY };
   en_replay_init (&self->replay);
   copy_start (self, start);
   start_stream (self);
--- a/entry/cache.c
+++ b/entry/cache.c
@@ -7,7 +7,7 @@
 #include "entry/core_internal.h"
 
 /* Prefixes tracked per engine. A full set is cleared: the engine has evicted most of it by then. */
-#define PREFIXES_MOST 8192
+#define MAX_PREFIXES 8192
 
 typedef struct
 {
@@ -27,20 +27,20 @@
 }
 
 void
-en_core_learn_prefix (EnEndpoint *endpoint, guint64 prefix)
+en_core_add_prefix (EnEndpoint *endpoint, guint64 prefix)
 {
-  if (g_hash_table_size (endpoint->prefixes) >= PREFIXES_MOST)
+  if (g_hash_table_size (endpoint->prefixes) >= MAX_PREFIXES)
     g_hash_table_remove_all (endpoint->prefixes);
   g_hash_table_add (endpoint->prefixes, g_memdup2 (&prefix, sizeof prefix));
 }
 
 static void
-take_event (EnEndpoint *endpoint, const EpCacheEvent *event)
+apply_event (EnEndpoint *endpoint, const EpCacheEvent *event)
 {
   if (event->sequence <= endpoint->cache_sequence)
     return;
   if (event->added)
-    en_core_learn_prefix (endpoint, event->prefix);
+    en_core_add_prefix (endpoint, event->prefix);
   else
     g_hash_table_remove (endpoint->prefixes, &event->prefix);
 }
@@ -63,7 +63,7 @@
       if (last_sequence < endpoint->cache_sequence)
         endpoint->cache_sequence = 0;
       for (guint i = 0; i < n_events; i++)
-        take_event (endpoint, &events[i]);
+        apply_event (endpoint, &events[i]);
       endpoint->cache_sequence = MAX (last_sequence, endpoint->cache_sequence);
     }
   g_hash_table_remove (core->cache_polls, poll->endpoint);
@@ -81,7 +81,7 @@
           g_ptr_array_index (endpoints, core->next_cache_poll++ % endpoints->len);
       CachePoll *poll;
 
-      if (endpoint->gone || g_hash_table_size (endpoint->prefixes) == 0
+      if (endpoint->removed || g_hash_table_size (endpoint->prefixes) == 0
           || g_hash_table_contains (core->cache_polls, endpoint->name))
         continue;
       poll = g_new0 (CachePoll, 1);
--- a/entry/cancels.c
+++ b/entry/cancels.c
@@ -3,18 +3,18 @@
 #include "common/log.h"
 #include "common/retry.h"
 
-#define RETRY_FIRST  (100 * KNL_MSEC)
-#define RETRY_LIMIT  (5 * KNL_SEC)
-#define SECOND_AFTER (2 * KNL_SEC)
+#define MIN_RETRY_DELAY     (100 * KNL_MSEC)
+#define MAX_RETRY_DELAY     (5 * KNL_SEC)
+#define SECOND_CANCEL_DELAY (2 * KNL_SEC)
 
 /* Much longer than engines hold a request by themselves: an engine silent for so long is gone. */
-#define GIVE_UP_AFTER (600 * KNL_SEC)
+#define CANCEL_TIMEOUT (600 * KNL_SEC)
 
 /*
  * An engine that was removed from the members may only be unreachable and still hold
  * the request; its own hold time has passed by then.
  */
-#define GONE_AFTER (60 * KNL_SEC)
+#define REMOVED_CANCEL_TIMEOUT (60 * KNL_SEC)
 
 struct EnCancels
 {
@@ -32,7 +32,7 @@
   char *address;
   char *request;
   EnCharge *charge;
-  gboolean unsure;
+  gboolean repeat;
   KnlTime started;
   CmBackoff backoff;
   KnlTimerId timer;
@@ -93,23 +93,23 @@
 }
 
 static gboolean
-endpoint_is_gone (const Cancel *cancel)
+endpoint_is_removed (const Cancel *cancel)
 {
   const EnEndpoint *endpoint = cancel->charge != NULL
                                    ? en_fleet_find (cancel->owner->fleet, cancel->charge->endpoint)
                                    : NULL;
 
   return endpoint != NULL
-         && (endpoint->gone || endpoint->state == ALDERTURN__MEMBER_STATE__MEMBER_STATE_DEAD);
+         && (endpoint->removed || endpoint->state == ALDERTURN__MEMBER_STATE__MEMBER_STATE_DEAD);
 }
 
 static gboolean
-pointless (const Cancel *cancel)
+is_obsolete (const Cancel *cancel)
 {
   EnCancels *self = cancel->owner;
   KnlTime tried = knl_kernel_now (self->kernel) - cancel->started;
 
-  if (tried > GIVE_UP_AFTER || (tried > GONE_AFTER && endpoint_is_gone (cancel)))
+  if (tried > CANCEL_TIMEOUT || (tried > REMOVED_CANCEL_TIMEOUT && endpoint_is_removed (cancel)))
     return TRUE;
   return cancel->charge != NULL && !en_charge_valid (cancel->charge, self->fleet);
 }
@@ -128,10 +128,10 @@
       cancel->timer =
           knl_timer_start (kernel, cm_backoff_next (&cancel->backoff, kernel), send_cancel, cancel);
     }
-  else if (cancel->unsure)
+  else if (cancel->repeat)
     {
-      cancel->unsure = FALSE;
-      cancel->timer = knl_timer_start (kernel, SECOND_AFTER, send_cancel, cancel);
+      cancel->repeat = FALSE;
+      cancel->timer = knl_timer_start (kernel, SECOND_CANCEL_DELAY, send_cancel, cancel);
     }
   else
     drop (cancel);
@@ -144,7 +144,7 @@
   EnCancels *self = cancel->owner;
 
   cancel->timer = 0;
-  if (pointless (cancel))
+  if (is_obsolete (cancel))
     {
       cm_log (CM_LOG_INFO, "cancel-dropped", "s", "request", cancel->request);
       drop (cancel);
@@ -158,7 +158,7 @@
                 const char *address,
                 const char *request,
                 EnCharge *charge,
-                gboolean unsure)
+                gboolean repeat)
 {
   Cancel *cancel = g_new0 (Cancel, 1);
 
@@ -166,9 +166,9 @@
   cancel->address = g_strdup (address);
   cancel->request = g_strdup (request);
   cancel->charge = charge;
-  cancel->unsure = unsure;
+  cancel->repeat = repeat;
   cancel->started = knl_kernel_now (self->kernel);
-  cancel->backoff = (CmBackoff){ .first = RETRY_FIRST, .limit = RETRY_LIMIT };
+  cancel->backoff = (CmBackoff){ .first = MIN_RETRY_DELAY, .limit = MAX_RETRY_DELAY };
   g_hash_table_add (self->pending, cancel);
   cancel->timer = knl_timer_start (self->kernel, 0, send_cancel, cancel);
 }
--- a/entry/control.c
+++ b/entry/control.c
@@ -5,23 +5,23 @@
 #include "common/log.h"
 #include "entry/core_internal.h"
 
-#define TICK            (250 * KNL_MSEC)
-#define TICKS_OF_SHARES 2
-#define TICKS_OF_STATUS 4
-#define CREDITS_AT_MOST (20 * KNL_MSEC)
+#define TICK_INTERVAL               (250 * KNL_MSEC)
+#define SHARE_REPORT_TICKS          2
+#define STATUS_TICKS                4
+#define CREDIT_REQUEST_MIN_INTERVAL (20 * KNL_MSEC)
 
 /*
  * How long a long prompt requests credits of one engine before it tries the next:
  * grants of other entries on that engine have to lapse first.
  */
-#define WANT_ROTATION (5 * KNL_SEC)
+#define WANT_ROTATION_INTERVAL (5 * KNL_SEC)
 
 /* Long prompts that request credits at the same time; those queued behind them can't run yet. */
-#define LONG_WANTS_MOST 2
+#define MAX_LONG_WANTS 2
 
 /* Ticks between two polls of engines without a grant, and polls that run at the same time. */
 #define POLL_TICKS 2
-#define POLLS_MOST 16
+#define MAX_POLLS  16
 
 typedef struct
 {
@@ -66,7 +66,7 @@
   EnCore *core;
   GHashTable *services;   /* name -> EnWaiting of short prompts */
   GHashTable *long_wants; /* engine -> LongWant */
-  guint next_long;
+  guint long_index;
 } WantsContext;
 
 static void
@@ -127,7 +127,7 @@
   for (guint i = 0; i < endpoints->len; i++)
     {
       const EnEndpoint *endpoint = g_ptr_array_index (endpoints, i);
-      guint64 tokens = en_reservation_wants (reservation, endpoint->name);
+      guint64 tokens = en_reservation_missing_tokens (reservation, endpoint->name);
 
       if (tokens > 0)
         add_long_want (context, endpoint->name, tokens);
@@ -137,7 +137,7 @@
 /*
  * A long prompt needs much of one engine's memory, and a partial grant is of no
  * use: it requests everything from one engine, and from the next one after
- * WANT_ROTATION. Entries start at different engines. A reservation requests all
+ * WANT_ROTATION_INTERVAL. Entries start at different engines. A reservation requests all
  * parts that it lacks at the same time.
  */
 static void
@@ -155,9 +155,10 @@
       add_reservation_wants (context, request->reservation);
       return;
     }
-  engines = en_router_long_engines (core->router, request->label, request->service, core->instance,
-                                    context->next_long++ + (guint)(waited / WANT_ROTATION));
-  if (engines->len > 0 && context->next_long <= LONG_WANTS_MOST)
+  engines =
+      en_router_long_engines (core->router, request->label, request->service, core->instance,
+                              context->long_index++ + (guint)(waited / WANT_ROTATION_INTERVAL));
+  if (engines->len > 0 && context->long_index <= MAX_LONG_WANTS)
     add_long_want (context, ((EnEndpoint *)g_ptr_array_index (engines, 0))->name,
                    request->need.tokens);
   g_ptr_array_unref (engines);
@@ -165,7 +166,7 @@
 
 /* Requests an engine's share of the waiting short prompts, and at least the largest of them. */
 static void
-want_of_engine (const EnEndpoint *endpoint, EnWant *want, gpointer data)
+fill_engine_want (const EnEndpoint *endpoint, EnWant *want, gpointer data)
 {
   WantsContext *context = data;
   const EnWaiting *waiting =
@@ -203,7 +204,7 @@
 
   co_config_foreach (core->config, "service", add_service_wants, &context);
   en_queue_foreach (core->queue, add_request_want, &context);
-  request = en_credits_request (core->credits, want_of_engine, &context);
+  request = en_credits_request (core->credits, fill_engine_want, &context);
   if (request->n_wants > 0)
     send_frame (core, ALDERTURN__FRAME__BODY_CREDIT_REQUEST, request);
   en_credits_request_free (request);
@@ -222,13 +223,13 @@
 }
 
 void
-en_core_ask_credits (EnCore *core)
+en_core_request_credits (EnCore *core)
 {
   KnlTime since = knl_kernel_now (core->kernel) - core->credits_sent_at;
 
   if (core->credit_timer == 0 && en_uplink_is_up (core->uplink))
-    core->credit_timer =
-        knl_timer_start (core->kernel, MAX (CREDITS_AT_MOST - since, 0), on_credit_timer, core);
+    core->credit_timer = knl_timer_start (
+        core->kernel, MAX (CREDIT_REQUEST_MIN_INTERVAL - since, 0), on_credit_timer, core);
 }
 
 typedef struct
@@ -285,11 +286,11 @@
   poll->call = 0;
   if (report != NULL && endpoint != NULL)
     {
-      en_fleet_saw_incarnation (core->fleet, endpoint->name, report->incarnation);
-      en_credits_saw_capacity (endpoint, report->capacity_tokens, report->capacity_slots);
-      endpoint->unproven = FALSE;
+      en_fleet_note_incarnation (core->fleet, endpoint->name, report->incarnation);
+      en_credits_note_capacity (endpoint, report->capacity_tokens, report->capacity_slots);
+      endpoint->needs_answer = FALSE;
       if (report->leaving)
-        en_endpoint_leaves (endpoint, knl_kernel_now (core->kernel));
+        en_endpoint_note_leaving (endpoint, knl_kernel_now (core->kernel));
       endpoint->load = (EnLoad){
         .used_tokens = report->used_tokens,
         .waiting = report->waiting,
@@ -315,11 +316,12 @@
     {
       const EnEndpoint *endpoint = g_ptr_array_index (endpoints, i);
       gboolean known = endpoint->incarnation != 0 && endpoint->capacity_tokens != 0
-                       && !en_credits_is_static (core->credits, endpoint) && !endpoint->unproven;
+                       && !en_credits_is_static (core->credits, endpoint)
+                       && !endpoint->needs_answer;
       Poll *poll;
 
-      if (known || endpoint->gone || endpoint->kind != ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENGINE
-          || g_hash_table_size (core->polls) >= POLLS_MOST
+      if (known || endpoint->removed || endpoint->kind != ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENGINE
+          || g_hash_table_size (core->polls) >= MAX_POLLS
           || g_hash_table_contains (core->polls, endpoint->name))
         continue;
       poll = g_new0 (Poll, 1);
@@ -356,12 +358,12 @@
 {
   EnCore *core = data;
 
-  core->tick_timer = knl_timer_start (core->kernel, TICK, on_tick, core);
+  core->tick_timer = knl_timer_start (core->kernel, TICK_INTERVAL, on_tick, core);
   core->ticks++;
   send_credit_request (core);
-  if (core->ticks % TICKS_OF_SHARES == 0)
+  if (core->ticks % SHARE_REPORT_TICKS == 0)
     send_shares (core);
-  if (core->ticks % TICKS_OF_STATUS == 0)
+  if (core->ticks % STATUS_TICKS == 0)
     en_core_send_status (core);
   if (core->ticks % POLL_TICKS == 1)
     poll_engines (core);
@@ -387,7 +389,7 @@
 }
 
 static void
-take_config (EnCore *core, const Alderturn__ConfigPush *push)
+apply_config_push (EnCore *core, const Alderturn__ConfigPush *push)
 {
   guint64 before = *co_config_revision (core->config);
 
@@ -406,7 +408,7 @@
 }
 
 static void
-take_members (EnCore *core, const Alderturn__MemberUpdate *update)
+apply_member_update (EnCore *core, const Alderturn__MemberUpdate *update)
 {
   char **controllers;
 
@@ -421,7 +423,7 @@
 }
 
 static void
-take_suspects (EnCore *core, const Alderturn__SuspectUpdate *update)
+apply_suspect_update (EnCore *core, const Alderturn__SuspectUpdate *update)
 {
   for (size_t i = 0; i < update->n_entries; i++)
     {
@@ -440,23 +442,23 @@
   switch (frame->body_case)
     {
     case ALDERTURN__FRAME__BODY_CONFIG_PUSH:
-      take_config (core, frame->config_push);
+      apply_config_push (core, frame->config_push);
       break;
     case ALDERTURN__FRAME__BODY_MEMBER_UPDATE:
-      take_members (core, frame->member_update);
+      apply_member_update (core, frame->member_update);
       break;
     case ALDERTURN__FRAME__BODY_CREDIT_REPLY:
       en_credits_apply (core->credits, frame->credit_reply);
       en_core_wake_queue (core);
       break;
     case ALDERTURN__FRAME__BODY_IDEM_REPLY:
-      en_records_take_begun (core->records, frame->idem_reply);
+      en_records_handle_begun (core->records, frame->idem_reply);
       break;
     case ALDERTURN__FRAME__BODY_IDEM_FINISH_REPLY:
-      en_records_take_finished (core->records, frame->idem_finish_reply);
+      en_records_handle_finished (core->records, frame->idem_finish_reply);
       break;
     case ALDERTURN__FRAME__BODY_SUSPECT_UPDATE:
-      take_suspects (core, frame->suspect_update);
+      apply_suspect_update (core, frame->suspect_update);
       en_core_wake_queue (core);
       break;
     case ALDERTURN__FRAME__BODY_SHARE_UPDATE:
@@ -481,7 +483,7 @@
 en_core_start_control (EnCore *core)
 {
   core->polls = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, poll_free);
-  core->tick_timer = knl_timer_start (core->kernel, TICK, on_tick, core);
+  core->tick_timer = knl_timer_start (core->kernel, TICK_INTERVAL, on_tick, core);
   en_uplink_set_events (core->uplink, &uplink_events, core);
 }
 
--- a/entry/core.c
+++ b/entry/core.c
@@ -4,7 +4,7 @@
 
 #include "entry/core_internal.h"
 
-#define HISTORY_LIMIT 1000
+#define MAX_ENDED_REQUESTS 1000
 
 static void
 on_cancels_freed (gpointer data)
@@ -16,7 +16,7 @@
 }
 
 static void
-make_tables (EnCore *core)
+create_tables (EnCore *core)
 {
   core->requests = g_hash_table_new (g_int64_hash, g_int64_equal);
   core->tokens = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -29,21 +29,21 @@
 static const PolSuspectRule suspect_rule = { .refuse_at = 2, .ttl = 3600 * KNL_SEC };
 
 static void
-make_parts (EnCore *core)
+create_components (EnCore *core)
 {
-  const char *way = core->settings.router != NULL ? core->settings.router : "credits";
+  const char *strategy = core->settings.router != NULL ? core->settings.router : "credits";
 
   core->fleet = en_fleet_new (core->kernel);
   en_fleet_set_self (core->fleet, core->instance, core->zone);
   core->cancels = en_cancels_new (core->kernel, core->client, core->fleet);
   core->credits = en_credits_new (core->kernel, core->fleet, core->instance);
-  core->router = en_router_new (way, core->kernel, core->fleet, core->credits);
+  core->router = en_router_new (strategy, core->kernel, core->fleet, core->credits);
   core->shares = en_shares_new (core->kernel);
   core->queue = en_queue_new (core->shares);
   core->estimates = en_estimates_new (core->kernel, core->queue);
   core->records = en_records_new (core->kernel, core->uplink);
   core->suspects = pol_suspects_new (core->kernel, &suspect_rule);
-  core->history = en_history_new (HISTORY_LIMIT);
+  core->history = en_history_new (MAX_ENDED_REQUESTS);
   core->meters = en_meters_new ();
   core->host = (EnAttemptHost){
     .kernel = core->kernel,
@@ -71,8 +71,8 @@
   core->settings = *settings;
   core->settings.instance = core->instance;
   core->settings.zone = core->zone;
-  make_tables (core);
-  make_parts (core);
+  create_tables (core);
+  create_components (core);
   en_core_start_cache (core);
   en_core_start_control (core);
   return core;
@@ -139,7 +139,7 @@
 }
 
 gboolean
-en_core_knows_token (const EnCore *core, const char *token)
+en_core_has_token (const EnCore *core, const char *token)
 {
   return g_hash_table_contains (core->tokens, token);
 }
@@ -168,7 +168,7 @@
             rows, json_pack ("{s:s, s:s}", "address", peer->address, "zone", peer->zone));
     }
   return json_pack ("{s:o, s:I}", "entries", rows, "keep_ms",
-                    (json_int_t)(core->settings.keep / KNL_MSEC));
+                    (json_int_t)(core->settings.entries_ttl / KNL_MSEC));
 }
 
 static json_t *
--- a/entry/core_internal.h
+++ b/entry/core_internal.h
@@ -24,7 +24,7 @@
   EN_DRAIN_SERVING,
   EN_DRAIN_LEAVING,  /**< removed from the list of entries, still accepts requests */
   EN_DRAIN_REFUSING, /**< refuses new requests and finishes those in flight */
-  EN_DRAIN_OVER,
+  EN_DRAIN_COMPLETE,
 } EnDrainState;
 
 struct EnCore
@@ -93,7 +93,7 @@
 void en_core_release_holds (EnCore *core, const EnRequest *request);
 
 /** Takes the request out of the queue and marks it as dispatched. */
-void en_core_leave_queue (EnCore *core, EnRequest *request);
+void en_core_dequeue (EnCore *core, EnRequest *request);
 
 /** Starts an attempt. Takes ownership of `charge`; `imports` may be NULL. */
 void en_core_start_attempt (EnCore *core,
@@ -109,7 +109,7 @@
 extern const PolBudgetRule en_retry_budget;
 
 /** The attempt, or the reservation that prepares it, was lost: retries or ends the request. */
-void en_core_take_loss (EnCore *core, EnRequest *request, const EnLoss *loss);
+void en_core_handle_loss (EnCore *core, EnRequest *request, const EnLoss *loss);
 
 /** Updates the estimates on whether requests wait in this request's lane. */
 void en_core_note_lane (EnCore *core, const EnRequest *request);
@@ -134,13 +134,13 @@
 void en_core_start_cache (EnCore *core);
 void en_core_stop_cache (EnCore *core);
 void en_core_poll_next_cache (EnCore *core);
-void en_core_learn_prefix (EnEndpoint *endpoint, guint64 prefix);
+void en_core_add_prefix (EnEndpoint *endpoint, guint64 prefix);
 
 /** record.c: requests that may run at most once */
 void en_core_start_record (EnCore *core, EnRequest *request);
 
 /** Appends a part of the answer to the text kept for the idempotency record. */
-void en_core_keep_answer (EnRequest *request, const char *text);
+void en_core_append_answer (EnRequest *request, const char *text);
 
 /** Ends the request with its complete answer, once the outcome is recorded. */
 void en_core_complete (EnCore *core, EnRequest *request, const EnAnswer *answer);
@@ -164,10 +164,10 @@
 /** finish.c: every admitted request ends through one of these */
 void en_core_end_error (EnCore *core, EnRequest *request, const EnError *error);
 void en_core_end_done (EnCore *core, EnRequest *request, const EnAnswer *answer);
-void en_core_end_gone (EnCore *core, EnRequest *request);
+void en_core_end_disconnected (EnCore *core, EnRequest *request);
 
 /** Ends the request with an error at the time `at`; replaces an earlier call's time. */
-void en_core_set_limit (EnCore *core, EnRequest *request, KnlTime at);
+void en_core_set_deadline_timer (EnCore *core, EnRequest *request, KnlTime at);
 
 /** The outcome if the request ended now: NOT_RUN if nothing of it can have run, else UNKNOWN. */
 EnOutcome en_core_outcome_if_ended (const EnRequest *request);
@@ -175,7 +175,7 @@
 /** control.c: frames from the controller, and periodic reports to it */
 void en_core_start_control (EnCore *core);
 void en_core_stop_control (EnCore *core);
-void en_core_ask_credits (EnCore *core);
+void en_core_request_credits (EnCore *core);
 void en_core_send_status (EnCore *core);
 
 /** drain.c */
--- a/entry/credits.c
+++ b/entry/credits.c
@@ -6,16 +6,16 @@
 #include "common/log.h"
 
 /* Number of requests whose answers are accepted; grants in older answers have expired. */
-#define CALLS 64
+#define MAX_PENDING_CALLS 64
 
 /*
  * A holder that failed may just have granted all of an engine to other entries:
  * the static share applies only after such grants must have lapsed.
  */
-#define STATIC_AFTER (2 * KNL_SEC)
+#define STATIC_SHARE_DELAY (2 * KNL_SEC)
 
 /* Interval of requests for an idle engine: half of the shortest default lifetime of a grant. */
-#define REST_INTERVAL (1 * KNL_SEC)
+#define IDLE_REQUEST_INTERVAL (1 * KNL_SEC)
 
 /* Requested even when nothing waits, so that a first short request need not wait for a grant. */
 #define HEADROOM_TOKENS 8192
@@ -28,7 +28,7 @@
   char *instance;
   guint64 incarnation;
   guint64 last_call;
-  KnlTime sent_at[CALLS]; /* by call number modulo CALLS */
+  KnlTime sent_at[MAX_PENDING_CALLS]; /* by call number modulo MAX_PENDING_CALLS */
 };
 
 EnCredits *
@@ -58,7 +58,7 @@
 }
 
 static gboolean
-peer_counts (const EnPeer *peer)
+peer_is_alive (const EnPeer *peer)
 {
   return peer->state != ALDERTURN__MEMBER_STATE__MEMBER_STATE_DEAD;
 }
@@ -70,13 +70,13 @@
   guint count = 0;
 
   for (guint i = 0; i < entries->len; i++)
-    count += peer_counts (g_ptr_array_index (entries, i));
+    count += peer_is_alive (g_ptr_array_index (entries, i));
   return MAX (count, 1);
 }
 
 /* Rendezvous hashing: all entries with the same list of entries choose the same owner. */
 gboolean
-en_credits_owns_rest (EnCredits *self, const EnEndpoint *endpoint)
+en_credits_owns_undivided_half (EnCredits *self, const EnEndpoint *endpoint)
 {
   const GPtrArray *entries = en_fleet_entries (self->fleet);
   guint64 seed = XXH3_64bits (endpoint->name, strlen (endpoint->name));
@@ -88,7 +88,7 @@
       const EnPeer *peer = g_ptr_array_index (entries, i);
       guint64 score = XXH3_64bits_withSeed (peer->name, strlen (peer->name), seed);
 
-      if (peer_counts (peer) && score > best)
+      if (peer_is_alive (peer) && score > best)
         {
           best = score;
           owner = peer->name;
@@ -111,18 +111,18 @@
 
   *tokens = 0;
   *slots = 0;
-  if (endpoint->capacity_tokens == 0 || knl_kernel_now (self->kernel) - since < STATIC_AFTER)
+  if (endpoint->capacity_tokens == 0 || knl_kernel_now (self->kernel) - since < STATIC_SHARE_DELAY)
     return;
   *tokens = endpoint->capacity_tokens / 2 / entries;
   *slots = MAX (endpoint->capacity_slots / 2 / entries, 1);
-  if (!en_credits_owns_rest (self, endpoint))
+  if (!en_credits_owns_undivided_half (self, endpoint))
     return;
   *tokens += endpoint->capacity_tokens / 2;
   *slots += endpoint->capacity_slots / 2;
 }
 
 gboolean
-en_credits_has_room (EnCredits *self, const EnEndpoint *endpoint, const EnNeed *need)
+en_credits_has_capacity (EnCredits *self, const EnEndpoint *endpoint, const EnNeed *need)
 {
   guint64 tokens = endpoint->grant.tokens;
   guint slots = endpoint->grant.slots;
@@ -133,7 +133,7 @@
 }
 
 guint64
-en_credits_most (EnCredits *self, const EnEndpoint *endpoint)
+en_credits_max_tokens (EnCredits *self, const EnEndpoint *endpoint)
 {
   guint64 tokens = endpoint->capacity_tokens;
   guint slots;
@@ -144,7 +144,7 @@
 }
 
 static Alderturn__CreditWant *
-want_of (const EnEndpoint *endpoint, EnWantsFunc wants, gpointer data)
+want_new (const EnEndpoint *endpoint, EnWantsFunc wants, gpointer data)
 {
   Alderturn__CreditWant *want = g_new0 (Alderturn__CreditWant, 1);
   EnWant waiting = { 0 };
@@ -162,16 +162,16 @@
 
 /*
  * An engine on which this entry has no charges and for which nothing waits is
- * requested only every REST_INTERVAL, which keeps the grant from lapsing. Most
+ * requested only every IDLE_REQUEST_INTERVAL, which keeps the grant from lapsing. Most
  * engines are idle in this sense, and including them in each request would be
  * most of what an entry sends.
  */
 static gboolean
-is_at_rest (const EnEndpoint *endpoint, const Alderturn__CreditWant *want, KnlTime now)
+is_idle (const EnEndpoint *endpoint, const Alderturn__CreditWant *want, KnlTime now)
 {
   return want->used_slots == 0 && want->used_tokens == 0 && want->largest_tokens == 0
-         && want->wanted_tokens <= HEADROOM_TOKENS && endpoint->asked_at != 0
-         && now - endpoint->asked_at < REST_INTERVAL;
+         && want->wanted_tokens <= HEADROOM_TOKENS && endpoint->requested_at != 0
+         && now - endpoint->requested_at < IDLE_REQUEST_INTERVAL;
 }
 
 static void
@@ -194,13 +194,13 @@
   if (endpoint->kind != ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENGINE
       || (endpoint->other_subset && endpoint->used_slots == 0))
     return;
-  want = want_of (endpoint, wants, data);
-  if (is_at_rest (endpoint, want, now))
+  want = want_new (endpoint, wants, data);
+  if (is_idle (endpoint, want, now))
     {
       want_free (want);
       return;
     }
-  endpoint->asked_at = now;
+  endpoint->requested_at = now;
   request->wants[request->n_wants++] = want;
 }
 
@@ -212,7 +212,7 @@
 
   alderturn__credit_request__init (request);
   request->call = ++self->last_call;
-  self->sent_at[request->call % CALLS] = knl_kernel_now (self->kernel);
+  self->sent_at[request->call % MAX_PENDING_CALLS] = knl_kernel_now (self->kernel);
   request->entry = self->instance;
   request->incarnation = self->incarnation;
   request->wants = g_new0 (Alderturn__CreditWant *, endpoints->len + 1);
@@ -246,7 +246,7 @@
 }
 
 static void
-take_grant (EnCredits *self, const Alderturn__CreditGrant *grant, guint64 call, KnlTime sent_at)
+apply_grant (EnCredits *self, const Alderturn__CreditGrant *grant, guint64 call, KnlTime sent_at)
 {
   EnEndpoint *endpoint = en_fleet_find (self->fleet, grant->endpoint);
   KnlTime now = knl_kernel_now (self->kernel);
@@ -261,9 +261,9 @@
     .fence = grant->fence,
     .call = call,
   };
-  en_credits_saw_capacity (endpoint, grant->capacity_tokens, grant->capacity_slots);
+  en_credits_note_capacity (endpoint, grant->capacity_tokens, grant->capacity_slots);
   if (grant->leaving)
-    en_endpoint_leaves (endpoint, now);
+    en_endpoint_note_leaving (endpoint, now);
   if (now - (KnlTime)grant->report_age_ms * KNL_MSEC <= endpoint->load.at)
     return;
   endpoint->load = (EnLoad){
@@ -278,14 +278,15 @@
 void
 en_credits_apply (EnCredits *self, const Alderturn__CreditReply *reply)
 {
-  if (reply->call > self->last_call || reply->call + CALLS <= self->last_call)
+  if (reply->call > self->last_call || reply->call + MAX_PENDING_CALLS <= self->last_call)
     return;
   for (size_t i = 0; i < reply->n_grants; i++)
-    take_grant (self, reply->grants[i], reply->call, self->sent_at[reply->call % CALLS]);
+    apply_grant (self, reply->grants[i], reply->call,
+                 self->sent_at[reply->call % MAX_PENDING_CALLS]);
 }
 
 void
-en_credits_saw_capacity (EnEndpoint *endpoint, guint64 tokens, guint slots)
+en_credits_note_capacity (EnEndpoint *endpoint, guint64 tokens, guint slots)
 {
   if (tokens == 0)
     return;
--- a/entry/dispatch.c
+++ b/entry/dispatch.c
@@ -4,14 +4,14 @@
 #include "entry/core_internal.h"
 
 /* How long a request waits for free capacity before an engine is kept free for it. */
-#define HOLD_AFTER (200 * KNL_MSEC)
+#define HOLD_DELAY (200 * KNL_MSEC)
 
 /* How long a request waits while no engine of its service is usable. */
-#define NO_ENGINE_LIMIT (2 * KNL_SEC)
+#define NO_ENGINE_TIMEOUT (2 * KNL_SEC)
 
 /* The same while a usable engine is large enough, but no holder of its shard grants enough of it.
  * By then the lease and the grants of a lost holder have lapsed, and the next holder grants. */
-#define TAKE_OVER_LIMIT (15 * KNL_SEC)
+#define NO_HOLDER_TIMEOUT (15 * KNL_SEC)
 
 static EnRoute
 route_of (EnCore *core, const EnRequest *request)
@@ -60,10 +60,10 @@
 
 /* The engine's cache will soon hold this prompt; the engine's cache events correct it later. */
 static void
-learn_prefixes (EnEndpoint *endpoint, const EnRequest *request)
+add_prefixes (EnEndpoint *endpoint, const EnRequest *request)
 {
   for (gsize i = 0; i < request->n_blocks; i++)
-    en_core_learn_prefix (endpoint, request->blocks[i]);
+    en_core_add_prefix (endpoint, request->blocks[i]);
 }
 
 void
@@ -75,7 +75,7 @@
 }
 
 void
-en_core_leave_queue (EnCore *core, EnRequest *request)
+en_core_dequeue (EnCore *core, EnRequest *request)
 {
   KnlTime now = knl_kernel_now (core->kernel);
 
@@ -85,13 +85,13 @@
   en_request_set_state (request, EN_STATE_DISPATCHED);
   request->attempts++;
   request->dispatched_at = now;
-  en_shares_served (core->shares, request->workspace, request->need.tokens);
+  en_shares_note_dispatched (core->shares, request->workspace, request->need.tokens);
   cm_series_add (cm_metric_series (core->meters->tokens, request->workspace, "prompt", NULL),
                  (double)request->need.prefill);
   cm_series_record (cm_metric_series (core->meters->queue_wait, request->workspace,
                                       en_length_class_name (request->length_class), NULL),
                     (guint64)(now - request->queued_at));
-  en_core_set_limit (core, request, request->deadline);
+  en_core_set_deadline_timer (core, request, request->deadline);
 }
 
 static void
@@ -99,10 +99,10 @@
 {
   guint64 cached = en_route_cached_tokens (route, endpoint);
 
-  en_core_leave_queue (core, request);
+  en_core_dequeue (core, request);
   endpoint->exclusive = request->need.alone;
   count_prefill (request, endpoint, request->need.prefill - cached);
-  learn_prefixes (endpoint, request);
+  add_prefixes (endpoint, request);
   en_core_start_attempt (core, request, endpoint, en_charge_new (endpoint, request->need.tokens, 1),
                          NULL);
 }
@@ -113,7 +113,7 @@
   const GPtrArray *endpoints = en_fleet_endpoints (core->fleet);
   EnEndpoint *endpoint;
 
-  if (route->now - request->queued_at < HOLD_AFTER)
+  if (route->now - request->queued_at < HOLD_DELAY)
     return;
   for (guint i = 0; i < endpoints->len; i++)
     {
@@ -131,11 +131,11 @@
  * holder will grant: refusing it at once would fail callers each time a controller is lost.
  */
 static KnlTime
-no_engine_limit (EnCore *core, const EnRequest *request)
+no_engine_timeout (EnCore *core, const EnRequest *request)
 {
   const GPtrArray *endpoints = en_fleet_endpoints (core->fleet);
   KnlTime now = knl_kernel_now (core->kernel);
-  KnlTime limit = NO_ENGINE_LIMIT;
+  KnlTime limit = NO_ENGINE_TIMEOUT;
 
   for (guint i = 0; i < endpoints->len; i++)
     {
@@ -144,10 +144,10 @@
       if (!en_endpoint_is_for (endpoint, request->label, request->service, request->need.is_long)
           || !en_endpoint_usable (endpoint, now))
         continue;
-      if (en_credits_most (core->credits, endpoint) >= request->need.tokens)
+      if (en_credits_max_tokens (core->credits, endpoint) >= request->need.tokens)
         return KNL_NEVER;
       if (endpoint->capacity_tokens >= request->need.tokens)
-        limit = TAKE_OVER_LIMIT;
+        limit = NO_HOLDER_TIMEOUT;
     }
   return limit;
 }
@@ -163,7 +163,7 @@
     .retry_after = KNL_SEC,
   };
 
-  if (knl_kernel_now (core->kernel) - request->queued_at < no_engine_limit (core, request))
+  if (knl_kernel_now (core->kernel) - request->queued_at < no_engine_timeout (core, request))
     return FALSE;
   en_core_end_error (core, request, &error);
   return TRUE;
@@ -217,7 +217,7 @@
   en_queue_run (core->queue, try_dispatch, core);
   cm_series_set (core->meters->queued, en_queue_length (core->queue));
   if (en_queue_length (core->queue) > 0)
-    en_core_ask_credits (core);
+    en_core_request_credits (core);
 }
 
 /* Deferred until the current events are handled, so that many of them cause a single run. */
@@ -260,6 +260,6 @@
   en_request_note (request, request->queued_at, "queued", NULL);
   en_queue_push (core->queue, request);
   en_core_note_lane (core, request);
-  en_core_set_limit (core, request, MAX (latest_start, request->queued_at));
+  en_core_set_deadline_timer (core, request, MAX (latest_start, request->queued_at));
   en_core_wake_queue (core);
 }
--- a/entry/drain.c
+++ b/entry/drain.c
@@ -11,13 +11,13 @@
 #define KEEP_MARGIN (2 * KNL_SEC)
 
 /* Shortest time for which it refuses requests and sends the new list, even if nothing runs. */
-#define REFUSE_AT_LEAST (500 * KNL_MSEC)
+#define MIN_REFUSE_TIME (500 * KNL_MSEC)
 
 /*
  * Cancellations that are still unacknowledged by then are left to the engines, which
  * release requests after their own hold time.
  */
-#define CANCELS_LIMIT (10 * KNL_SEC)
+#define CANCELS_TIMEOUT (10 * KNL_SEC)
 
 static void
 on_over (gpointer data)
@@ -29,7 +29,7 @@
 }
 
 static gboolean
-still_telling (const EnCore *core)
+has_unacknowledged (const EnCore *core)
 {
   return en_cancels_pending (core->cancels) > 0 || en_records_pending (core->records) > 0;
 }
@@ -41,14 +41,14 @@
 
   if (core->drain != EN_DRAIN_REFUSING || g_hash_table_size (core->requests) > 0)
     return;
-  if (now < core->refusing_since + REFUSE_AT_LEAST
-      || (still_telling (core) && now < core->refusing_since + CANCELS_LIMIT))
+  if (now < core->refusing_since + MIN_REFUSE_TIME
+      || (has_unacknowledged (core) && now < core->refusing_since + CANCELS_TIMEOUT))
     {
       if (core->drain_timer == 0)
-        core->drain_timer = knl_timer_start (core->kernel, REFUSE_AT_LEAST, on_over, core);
+        core->drain_timer = knl_timer_start (core->kernel, MIN_REFUSE_TIME, on_over, core);
       return;
     }
-  core->drain = EN_DRAIN_OVER;
+  core->drain = EN_DRAIN_COMPLETE;
   cm_log (CM_LOG_NOTICE, "drained", "i", "cancels_left",
           (gint64)en_cancels_pending (core->cancels));
   if (core->drained != NULL)
@@ -78,8 +78,8 @@
   cm_log (CM_LOG_NOTICE, "drain-leaving", "i", "in_flight",
           (gint64)g_hash_table_size (core->requests));
   en_core_send_status (core);
-  core->drain_timer =
-      knl_timer_start (core->kernel, core->settings.keep + KEEP_MARGIN, on_lists_expired, core);
+  core->drain_timer = knl_timer_start (core->kernel, core->settings.entries_ttl + KEEP_MARGIN,
+                                       on_lists_expired, core);
 }
 
 void
@@ -87,7 +87,7 @@
 {
   core->drained = drained;
   core->drained_data = data;
-  if (core->drain == EN_DRAIN_OVER)
+  if (core->drain == EN_DRAIN_COMPLETE)
     drained (data);
   else
     start_leaving (core);
--- a/entry/engine.c
+++ b/entry/engine.c
@@ -22,14 +22,15 @@
 {
   int priority = priorities[request->length_class];
 
-  return en_shares_floods (core->shares, request->workspace) ? priority - FLOOD_PENALTY : priority;
+  return en_shares_is_flooding (core->shares, request->workspace) ? priority - FLOOD_PENALTY
+                                                                  : priority;
 }
 
 /* Shortest prompt that may lower the estimate of an engine's prefill rate. */
-#define RATE_SAMPLE_TOKENS 2000
+#define MIN_RATE_SAMPLE_TOKENS 2000
 
-#define RETRY_FIRST (20 * KNL_MSEC)
-#define RETRY_LIMIT (1 * KNL_SEC)
+#define MIN_RETRY_DELAY (20 * KNL_MSEC)
+#define MAX_RETRY_DELAY (1 * KNL_SEC)
 
 static void
 settle_prefill (EnCore *core, EnRequest *request)
@@ -86,7 +87,7 @@
   en_request_note (request, knl_kernel_now (core->kernel), "accepted", "%s", request->endpoint);
   if (endpoint == NULL)
     return;
-  en_endpoint_worked (endpoint);
+  en_endpoint_note_success (endpoint);
   /* The engine is alive in this epoch, so a later crash of the same incarnation is reported. */
   endpoint->crash_reported = MIN (endpoint->crash_reported, endpoint->epoch);
 }
@@ -97,24 +98,24 @@
  * fixed costs dominate their time.
  */
 static void
-learn_rate (EnEndpoint *endpoint, guint64 tokens, KnlTime taken)
+update_prefill_rate (EnEndpoint *endpoint, guint64 tokens, KnlTime taken)
 {
   double rate = (double)tokens * (double)KNL_SEC / (double)MAX (taken, KNL_MSEC);
 
   if (rate >= endpoint->prefill_rate)
     endpoint->prefill_rate = rate;
-  else if (tokens >= RATE_SAMPLE_TOKENS)
+  else if (tokens >= MIN_RATE_SAMPLE_TOKENS)
     endpoint->prefill_rate += (rate - endpoint->prefill_rate) * 0.02;
 }
 
 static void
-take_first_token (EnCore *core, EnRequest *request, KnlTime now)
+handle_first_token (EnCore *core, EnRequest *request, KnlTime now)
 {
   EnEndpoint *endpoint = en_fleet_find (core->fleet, request->endpoint);
 
   if (endpoint != NULL)
-    learn_rate (endpoint, request->prefill_ahead + request->pending_prefill,
-                now - request->dispatched_at);
+    update_prefill_rate (endpoint, request->prefill_ahead + request->pending_prefill,
+                         now - request->dispatched_at);
   if (request->last_token_at == 0)
     en_estimates_note_served (core->estimates, request->service,
                               request->need.is_long ? EN_LANE_LONG : EN_LANE_SHORT,
@@ -147,9 +148,9 @@
   KnlTime now = knl_kernel_now (core->kernel);
 
   if (request->state != EN_STATE_STREAMING || request->pending_prefill > 0)
-    take_first_token (core, request, now);
+    handle_first_token (core, request, now);
   en_meters_token (core->meters, request, now);
-  en_core_keep_answer (request, text);
+  en_core_append_answer (request, text);
   if (caller != NULL && request->last_token_at == 0)
     caller->klass->begin (caller, request->id);
   request->last_token_at = now;
@@ -196,10 +197,10 @@
   if (endpoint == NULL)
     return;
   if (loss->leaving)
-    en_endpoint_leaves (endpoint, now);
-  en_endpoint_failed (endpoint, now);
+    en_endpoint_note_leaving (endpoint, now);
+  en_endpoint_note_failure (endpoint, now);
   if (loss->kind == POL_LOSS_UNKNOWN || (loss->kind == POL_LOSS_NOT_RUN && !loss->refused))
-    en_endpoint_lost (endpoint);
+    en_endpoint_note_loss (endpoint);
 }
 
 static void
@@ -226,7 +227,9 @@
 retry_or_end (EnCore *core, EnRequest *request, const PolRetryCase *retry, const char *detail)
 {
   PolRetry decision = pol_retry_decide (&en_retry_rule, retry);
-  CmBackoff backoff = { .first = RETRY_FIRST, .limit = RETRY_LIMIT, .retries = request->attempts };
+  CmBackoff backoff = { .first = MIN_RETRY_DELAY,
+                        .limit = MAX_RETRY_DELAY,
+                        .retries = request->attempts };
   gboolean again;
   EnError error;
 
@@ -247,7 +250,7 @@
 }
 
 static void
-take_loss (EnCore *core, EnRequest *request, const EnLoss *loss, gboolean attempt_ended)
+handle_loss (EnCore *core, EnRequest *request, const EnLoss *loss, gboolean attempt_ended)
 {
   EnEndpoint *endpoint = en_fleet_find (core->fleet, request->endpoint);
   PolRetryCase retry = {
@@ -277,9 +280,9 @@
  * runs. That attempt must be aborted, or it would end the request a second time.
  */
 void
-en_core_take_loss (EnCore *core, EnRequest *request, const EnLoss *loss)
+en_core_handle_loss (EnCore *core, EnRequest *request, const EnLoss *loss)
 {
-  take_loss (core, request, loss, FALSE);
+  handle_loss (core, request, loss, FALSE);
 }
 
 static void
@@ -287,7 +290,7 @@
 {
   EnRequest *request = data;
 
-  take_loss (request->core, request, loss, TRUE);
+  handle_loss (request->core, request, loss, TRUE);
 }
 
 static const EnAttemptEvents attempt_events = {
--- a/entry/estimate.c
+++ b/entry/estimate.c
@@ -5,7 +5,7 @@
 #define HALF_LIFE (5 * KNL_SEC)
 
 /* A rate measured over less busy time than this is unreliable. */
-#define MEASURED_AFTER (1 * KNL_SEC)
+#define MIN_BUSY_TIME (1 * KNL_SEC)
 
 struct EnEstimates
 {
@@ -44,7 +44,7 @@
 }
 
 static Lane *
-lane_at_now (EnEstimates *self, const char *service, EnLane lane)
+update_lane (EnEstimates *self, const char *service, EnLane lane)
 {
   char *name = g_strdup_printf ("%s/%d", service, (int)lane);
   Lane *row = g_hash_table_lookup (self->lanes, name);
@@ -70,7 +70,7 @@
 void
 en_estimates_note_waiting (EnEstimates *self, const char *service, EnLane lane)
 {
-  Lane *row = lane_at_now (self, service, lane);
+  Lane *row = update_lane (self, service, lane);
 
   row->waiting = en_queue_waiting (self->queue, service, lane).count > 0;
 }
@@ -78,7 +78,7 @@
 void
 en_estimates_note_served (EnEstimates *self, const char *service, EnLane lane, guint64 prefill)
 {
-  Lane *row = lane_at_now (self, service, lane);
+  Lane *row = update_lane (self, service, lane);
 
   if (row->waiting)
     row->tokens += (double)prefill;
@@ -95,13 +95,13 @@
                    const char *workspace,
                    KnlTime deadline)
 {
-  Lane *row = lane_at_now (self, service, lane);
+  Lane *row = update_lane (self, service, lane);
   EnWaiting all = en_queue_waiting (self->queue, service, lane);
   EnBacklog own = en_queue_backlog (self->queue, service, lane, workspace, deadline);
   double rate;
   double ahead;
 
-  if (row->busy < (double)MEASURED_AFTER || row->tokens <= 0)
+  if (row->busy < (double)MIN_BUSY_TIME || row->tokens <= 0)
     return 0;
   rate = row->tokens / row->busy;
   ahead = MIN ((double)all.prefill, (double)own.prefill / own.share);
--- a/entry/finish.c
+++ b/entry/finish.c
@@ -4,7 +4,7 @@
 #include "entry/core_internal.h"
 
 static void
-forget_caller_count (EnCore *core, const EnRequest *request)
+decrement_in_flight (EnCore *core, const EnRequest *request)
 {
   guint used = GPOINTER_TO_UINT (g_hash_table_lookup (core->in_flight, request->workspace));
 
@@ -53,7 +53,7 @@
   if (request->charge != NULL)
     en_charge_return (request->charge, core->fleet);
   request->charge = NULL;
-  forget_caller_count (core, request);
+  decrement_in_flight (core, request);
   g_hash_table_remove (core->requests, &request->number);
   cm_series_set (core->meters->in_flight, g_hash_table_size (core->requests));
 }
@@ -97,7 +97,7 @@
 }
 
 void
-en_core_end_gone (EnCore *core, EnRequest *request)
+en_core_end_disconnected (EnCore *core, EnRequest *request)
 {
   request->caller = NULL;
   end_request (core, request, en_core_outcome_if_ended (request), "caller-gone");
@@ -133,7 +133,7 @@
 }
 
 void
-en_core_set_limit (EnCore *core, EnRequest *request, KnlTime at)
+en_core_set_deadline_timer (EnCore *core, EnRequest *request, KnlTime at)
 {
   knl_timer_stop (core->kernel, &request->deadline_timer);
   request->deadline_timer =
@@ -141,7 +141,7 @@
 }
 
 void
-en_core_caller_gone (EnCore *core, guint64 number)
+en_core_caller_disconnected (EnCore *core, guint64 number)
 {
   EnRequest *request = g_hash_table_lookup (core->requests, &number);
 
@@ -157,5 +157,5 @@
       en_request_note (request, knl_kernel_now (core->kernel), "caller-gone", NULL);
     }
   else
-    en_core_end_gone (core, request);
+    en_core_end_disconnected (core, request);
 }
--- a/entry/fleet.c
+++ b/entry/fleet.c
@@ -16,7 +16,7 @@
  * An engine that left may come back under the same name. After this time it is
  * tried again; if it is still leaving, that costs one refused attempt.
  */
-#define LEAVING_BELIEVED (10 * KNL_SEC)
+#define LEAVING_TTL (10 * KNL_SEC)
 
 struct EnFleet
 {
@@ -172,7 +172,7 @@
   replace_text (&endpoint->label, member->service);
   endpoint->kind = member->kind;
   endpoint->state = member->state;
-  endpoint->gone = FALSE;
+  endpoint->removed = FALSE;
   set_incarnation (self, endpoint, member->incarnation);
 }
 
@@ -216,10 +216,10 @@
 }
 
 static void
-forget_all (EnFleet *self)
+mark_all_removed (EnFleet *self)
 {
   for (guint i = 0; i < self->endpoints->len; i++)
-    ((EnEndpoint *)g_ptr_array_index (self->endpoints, i))->gone = TRUE;
+    ((EnEndpoint *)g_ptr_array_index (self->endpoints, i))->removed = TRUE;
   for (guint i = 0; i < self->entries->len; i++)
     ((EnPeer *)g_ptr_array_index (self->entries, i))->state =
         ALDERTURN__MEMBER_STATE__MEMBER_STATE_DEAD;
@@ -228,13 +228,13 @@
 
 /* Endpoints with outstanding charges stay known until all charges are returned. */
 static void
-drop_gone (EnFleet *self)
+drop_removed (EnFleet *self)
 {
   for (guint i = self->endpoints->len; i > 0; i--)
     {
       EnEndpoint *endpoint = g_ptr_array_index (self->endpoints, i - 1);
 
-      if (!endpoint->gone || endpoint->used_slots > 0)
+      if (!endpoint->removed || endpoint->used_slots > 0)
         continue;
       g_ptr_array_remove_index (self->endpoints, i - 1);
       g_hash_table_remove (self->by_name, endpoint->name);
@@ -251,7 +251,7 @@
 en_fleet_apply_members (EnFleet *self, const Alderturn__MemberUpdate *update)
 {
   if (update->full)
-    forget_all (self);
+    mark_all_removed (self);
   for (size_t i = 0; i < update->n_members; i++)
     {
       const Alderturn__Member *member = update->members[i];
@@ -272,7 +272,7 @@
           break;
         }
     }
-  drop_gone (self);
+  drop_removed (self);
 }
 
 static gboolean
@@ -284,7 +284,7 @@
 }
 
 static EnRole
-role_of (const char *name)
+role_from_name (const char *name)
 {
   if (strcmp (name, "short") == 0)
     return EN_ROLE_SHORT;
@@ -310,7 +310,7 @@
       member->service = endpoint->label;
       member->kind = endpoint->kind;
       member->state = endpoint->state;
-      if (!endpoint->gone)
+      if (!endpoint->removed)
         g_ptr_array_add (view, member);
     }
   placement = ct_placement_new (config, view);
@@ -320,7 +320,7 @@
       const CtPlaced *placed = g_hash_table_lookup (placement, endpoint->name);
 
       endpoint->placed = TRUE;
-      endpoint->role = placed != NULL ? role_of (placed->role) : EN_ROLE_ANY;
+      endpoint->role = placed != NULL ? role_from_name (placed->role) : EN_ROLE_ANY;
       replace_text (&endpoint->service, placed != NULL ? placed->service : NULL);
     }
   g_hash_table_unref (placement);
@@ -349,7 +349,7 @@
 }
 
 void
-en_fleet_saw_incarnation (EnFleet *self, const char *name, guint64 incarnation)
+en_fleet_note_incarnation (EnFleet *self, const char *name, guint64 incarnation)
 {
   EnEndpoint *endpoint = en_fleet_find (self, name);
 
@@ -395,7 +395,7 @@
                     const char *service,
                     gboolean is_long)
 {
-  if (endpoint->kind != ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENGINE || endpoint->gone
+  if (endpoint->kind != ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENGINE || endpoint->removed
       || strcmp (endpoint->label, label) != 0)
     return FALSE;
   if (endpoint->placed && g_strcmp0 (endpoint->service, service) != 0)
@@ -407,7 +407,7 @@
 gboolean
 en_endpoint_usable (const EnEndpoint *endpoint, KnlTime now)
 {
-  if (endpoint->gone || endpoint->drained || endpoint->unproven || endpoint->other_subset
+  if (endpoint->removed || endpoint->drained || endpoint->needs_answer || endpoint->other_subset
       || now < endpoint->leaving_until || pol_health_is_suspended (&endpoint->health, now))
     return FALSE;
   return endpoint->state == ALDERTURN__MEMBER_STATE__MEMBER_STATE_LIVE
@@ -415,28 +415,28 @@
 }
 
 void
-en_endpoint_leaves (EnEndpoint *endpoint, KnlTime now)
+en_endpoint_note_leaving (EnEndpoint *endpoint, KnlTime now)
 {
-  endpoint->leaving_until = now + LEAVING_BELIEVED;
+  endpoint->leaving_until = now + LEAVING_TTL;
 }
 
 void
-en_endpoint_lost (EnEndpoint *endpoint)
+en_endpoint_note_loss (EnEndpoint *endpoint)
 {
-  endpoint->unproven = endpoint->kind == ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENGINE;
+  endpoint->needs_answer = endpoint->kind == ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENGINE;
 }
 
 void
-en_endpoint_failed (EnEndpoint *endpoint, KnlTime now)
+en_endpoint_note_failure (EnEndpoint *endpoint, KnlTime now)
 {
   pol_health_note_loss (&endpoint->health, &health_rule, now);
 }
 
 void
-en_endpoint_worked (EnEndpoint *endpoint)
+en_endpoint_note_success (EnEndpoint *endpoint)
 {
   pol_health_note_success (&endpoint->health);
-  endpoint->unproven = FALSE;
+  endpoint->needs_answer = FALSE;
 }
 
 EnCharge *
--- a/entry/front.c
+++ b/entry/front.c
@@ -5,18 +5,18 @@
 
 #include "entry/http_caller.h"
 
-#define SERVICE_PREFIX  "/s/"
-#define REQUESTS_PATH   "/v1/operator/requests"
-#define BEARER          "Bearer "
-#define KEY_LIMIT       256
-#define TIMEOUT_MOST_MS 86400000
+#define SERVICE_PREFIX "/s/"
+#define REQUESTS_PATH  "/v1/operator/requests"
+#define BEARER         "Bearer "
+#define MAX_KEY_BYTES  256
+#define MAX_TIMEOUT_MS 86400000
 
 /* The longest prompts are some MB, over links that may be slow; headers are short. */
 #define HEAD_TIMEOUT    (10 * KNL_SEC)
 #define REQUEST_TIMEOUT (60 * KNL_SEC)
 #define IDLE_TIMEOUT    (60 * KNL_SEC)
 
-#define CONNECTIONS_MOST 65536
+#define MAX_CONNECTIONS 65536
 
 struct EnFront
 {
@@ -27,7 +27,7 @@
 };
 
 static const char *
-bearer_of (HtCall *call)
+bearer_token (HtCall *call)
 {
   const char *value = ht_message_get (ht_call_request (call), "authorization");
 
@@ -82,9 +82,9 @@
 static void
 serve_entries (EnFront *self, HtCall *call, const char *path)
 {
-  const char *token = bearer_of (call);
+  const char *token = bearer_token (call);
 
-  if (token != NULL && !en_core_knows_token (self->core, token))
+  if (token != NULL && !en_core_has_token (self->core, token))
     refuse (call, EN_ERROR_UNAUTHORIZED, "unknown workspace token");
   else
     en_http_reply_json (call, 200, en_core_entries (self->core));
@@ -93,7 +93,7 @@
 static gboolean
 operator_allowed (EnFront *self, HtCall *call)
 {
-  const char *token = bearer_of (call);
+  const char *token = bearer_token (call);
 
   if (self->settings.operator_token != NULL
       && g_strcmp0 (token, self->settings.operator_token) == 0)
@@ -134,17 +134,17 @@
   const char *limit = ht_message_get (request, "alderturn-timeout-ms");
   const char *idempotent = ht_message_get (request, "alderturn-idempotent");
 
-  submission->token = bearer_of (call);
+  submission->token = bearer_token (call);
   submission->key = ht_message_get (request, "idempotency-key");
   if (submission->key != NULL
-      && (submission->key[0] == '\0' || strlen (submission->key) > KEY_LIMIT))
+      && (submission->key[0] == '\0' || strlen (submission->key) > MAX_KEY_BYTES))
     return "Idempotency-Key must have 1 to 256 bytes";
   if (limit != NULL)
     {
       char *end;
       gint64 milliseconds = g_ascii_strtoll (limit, &end, 10);
 
-      if (*end != '\0' || milliseconds <= 0 || milliseconds > TIMEOUT_MOST_MS)
+      if (*end != '\0' || milliseconds <= 0 || milliseconds > MAX_TIMEOUT_MS)
         return "Alderturn-Timeout-Ms must be 1 to 86400000";
       submission->limit = milliseconds * KNL_MSEC;
     }
@@ -199,7 +199,7 @@
 
 /* Returns path and query; the request target may also be an absolute URI. */
 static const char *
-target_of (const HtMessage *request)
+request_target (const HtMessage *request)
 {
   const char *authority = strstr (request->target, "://");
   const char *path;
@@ -214,7 +214,7 @@
 serve_plain (EnFront *self, HtCall *call, const char *path)
 {
   const HtMessage *request = ht_call_request (call);
-  const char *rest = target_of (request) + strlen (SERVICE_PREFIX);
+  const char *rest = request_target (request) + strlen (SERVICE_PREFIX);
   gsize name_length = strcspn (rest, "/?");
   char *name = g_strndup (rest, name_length);
   char *target = g_strconcat (rest[name_length] == '/' ? "" : "/", rest + name_length, NULL);
@@ -231,7 +231,7 @@
   if (problem != NULL)
     refuse (call, EN_ERROR_BAD_REQUEST, problem);
   else
-    en_http_caller_submit (&self->callers, call, EN_ANSWER_PASSED, &submission);
+    en_http_caller_submit (&self->callers, call, EN_ANSWER_FORWARDED, &submission);
   g_free (target);
   g_free (name);
 }
@@ -275,7 +275,7 @@
 {
   EnFront *self = data;
   const HtMessage *request = ht_call_request (call);
-  const char *target = target_of (request);
+  const char *target = request_target (request);
   g_autofree char *path = g_strndup (target, strcspn (target, "?#"));
 
   for (guint i = 0; i < G_N_ELEMENTS (routes); i++)
@@ -292,9 +292,9 @@
 }
 
 static void
-on_gone (HtCall *call, gpointer data)
+on_disconnected (HtCall *call, gpointer data)
 {
-  en_http_caller_gone (ht_call_data (call));
+  en_http_caller_disconnected (ht_call_data (call));
 }
 
 static GString *
@@ -327,7 +327,7 @@
 
 static const HtServerEvents server_events = {
   .request = on_request,
-  .disconnected = on_gone,
+  .disconnected = on_disconnected,
   .refusal = write_refusal,
 };
 
@@ -349,7 +349,7 @@
     .head_timeout = HEAD_TIMEOUT,
     .request_timeout = REQUEST_TIMEOUT,
     .idle_timeout = IDLE_TIMEOUT,
-    .max_connections = CONNECTIONS_MOST,
+    .max_connections = MAX_CONNECTIONS,
     .max_unsent =
         G_MAXSIZE, /* max_unread bounds streams, and other answers are sent one at a time */
   };
--- a/entry/http_caller.c
+++ b/entry/http_caller.c
@@ -99,11 +99,11 @@
 }
 
 void
-en_http_caller_gone (EnHttpCaller *self)
+en_http_caller_disconnected (EnHttpCaller *self)
 {
   if (self == NULL)
     return;
-  en_core_caller_gone (self->owner->core, self->number);
+  en_core_caller_disconnected (self->owner->core, self->number);
   caller_free (self);
 }
 
@@ -170,7 +170,7 @@
 }
 
 static void
-pass_answer (EnHttpCaller *self, GString *fields, const EnAnswer *answer)
+forward_answer (EnHttpCaller *self, GString *fields, const EnAnswer *answer)
 {
   if (answer->content_type != NULL)
     add_field (fields, "Content-Type", answer->content_type);
@@ -197,8 +197,8 @@
     case EN_ANSWER_STREAM:
       end_stream (self, "done", done_json (request, answer));
       break;
-    case EN_ANSWER_PASSED:
-      pass_answer (self, fields, answer);
+    case EN_ANSWER_FORWARDED:
+      forward_answer (self, fields, answer);
       break;
     case EN_ANSWER_JSON:
       answer_object (self, fields, done_json (request, answer));
--- a/entry/main.c
+++ b/entry/main.c
@@ -16,7 +16,7 @@
 
 /* Interval at which a drained process checks whether all answers were written to the network. */
 #define FLUSH_INTERVAL (50 * KNL_MSEC)
-#define FLUSH_LIMIT    (10 * KNL_SEC)
+#define FLUSH_TIMEOUT  (10 * KNL_SEC)
 
 typedef struct
 {
@@ -57,7 +57,7 @@
 {
   Program *program = data;
 
-  program->flush_until = knl_kernel_now (program->process.kernel) + FLUSH_LIMIT;
+  program->flush_until = knl_kernel_now (program->process.kernel) + FLUSH_TIMEOUT;
   knl_timer_start (program->process.kernel, FLUSH_INTERVAL, on_flush_due, program);
 }
 
@@ -128,7 +128,7 @@
     .max_queued = (guint64)settings->max_queued,
     .max_new_tokens = (guint64)settings->max_new_tokens,
     .max_limit = settings->max_limit_ms * KNL_MSEC,
-    .keep = settings->keep_ms * KNL_MSEC,
+    .entries_ttl = settings->keep_ms * KNL_MSEC,
   };
 
   program->core = en_core_new (&parts, &core);
--- a/entry/plain.c
+++ b/entry/plain.c
@@ -5,11 +5,11 @@
 #include "entry/core_internal.h"
 #include "policy/plain.h"
 
-#define CONNECT_LIMIT (1 * KNL_SEC)
-#define ANSWER_BOUND  ((gsize)16 * 1024 * 1024)
+#define CONNECT_TIMEOUT  (1 * KNL_SEC)
+#define MAX_ANSWER_BYTES ((gsize)16 * 1024 * 1024)
 
-#define RETRY_FIRST (20 * KNL_MSEC)
-#define RETRY_LIMIT (500 * KNL_MSEC)
+#define MIN_RETRY_DELAY (20 * KNL_MSEC)
+#define MAX_RETRY_DELAY (500 * KNL_MSEC)
 
 /* Delay before the next try of a call for which no endpoint is usable. */
 #define NO_ENDPOINT_DELAY (50 * KNL_MSEC)
@@ -35,7 +35,7 @@
   const GPtrArray *endpoints = en_fleet_endpoints (core->fleet);
   KnlTime now = knl_kernel_now (core->kernel);
   EnEndpoint *best = NULL;
-  double least = G_MAXDOUBLE;
+  double lowest_cost = G_MAXDOUBLE;
 
   for (guint i = 0; i < endpoints->len; i++)
     {
@@ -46,9 +46,9 @@
           || strcmp (endpoint->label, request->label) != 0 || !en_endpoint_usable (endpoint, now))
         continue;
       cost = cost_of (core, endpoint);
-      if (cost >= least)
+      if (cost >= lowest_cost)
         continue;
-      least = cost;
+      lowest_cost = cost;
       best = endpoint;
     }
   return best;
@@ -77,10 +77,12 @@
 }
 
 static void
-take_failure (EnCore *core, EnRequest *request, const EpFailure *failure)
+handle_failure (EnCore *core, EnRequest *request, const EpFailure *failure)
 {
   EnEndpoint *endpoint = en_fleet_find (core->fleet, request->endpoint);
-  CmBackoff backoff = { .first = RETRY_FIRST, .limit = RETRY_LIMIT, .retries = request->attempts };
+  CmBackoff backoff = { .first = MIN_RETRY_DELAY,
+                        .limit = MAX_RETRY_DELAY,
+                        .retries = request->attempts };
   PolRetryCase retry = {
     .kind = loss_of (failure),
     .accepted = TRUE,
@@ -93,7 +95,7 @@
   en_request_note (request, knl_kernel_now (core->kernel), "lost", "%s: %s", request->endpoint,
                    failure->detail);
   if (endpoint != NULL)
-    en_endpoint_failed (endpoint, knl_kernel_now (core->kernel));
+    en_endpoint_note_failure (endpoint, knl_kernel_now (core->kernel));
   if (retry.kind != POL_LOSS_NOT_RUN)
     request->costly++;
   retry.costly = request->costly;
@@ -133,12 +135,12 @@
   request->charge = NULL;
   if (failure != NULL)
     {
-      take_failure (core, request, failure);
+      handle_failure (core, request, failure);
       return;
     }
   request->may_have_run = TRUE;
   if (endpoint != NULL)
-    en_endpoint_worked (endpoint);
+    en_endpoint_note_success (endpoint);
   en_core_complete (core, request, &answer);
 }
 
@@ -164,9 +166,9 @@
     .content_type = request->content_type,
     .body = g_bytes_get_data (request->body, &body_bytes),
     .idempotency_key = request->key,
-    .connect_limit = MIN (CONNECT_LIMIT, MAX (request->deadline - now, KNL_MSEC)),
+    .connect_limit = MIN (CONNECT_TIMEOUT, MAX (request->deadline - now, KNL_MSEC)),
     .answer_limit = answer_limit (request, now),
-    .answer_bound = ANSWER_BOUND,
+    .answer_bound = MAX_ANSWER_BYTES,
   };
 
   if (endpoint == NULL)
--- a/entry/progress.c
+++ b/entry/progress.c
@@ -53,12 +53,12 @@
 }
 
 gboolean
-en_replay_take (EnReplay *replay,
-                EnProgress *progress,
-                guint count,
-                const char *text,
-                const char **fresh,
-                guint *fresh_count)
+en_replay_add (EnReplay *replay,
+               EnProgress *progress,
+               guint count,
+               const char *text,
+               const char **fresh,
+               guint *fresh_count)
 {
   gsize length = strlen (text);
   gsize known = 0;
--- a/entry/queue.c
+++ b/entry/queue.c
@@ -6,7 +6,7 @@
  * Requests of one workspace that are tried in a round. One that doesn't fit must not block smaller
  * ones behind it, but trying all of a long queue each time would be wasteful.
  */
-#define HEADS 4
+#define MAX_HEADS 4
 
 struct EnQueue
 {
@@ -108,7 +108,7 @@
 
   if (flow == NULL)
     flow = add_flow (self, request);
-  request->place = g_sequence_insert_sorted (flow->requests, request, compare_deadlines, NULL);
+  request->queue_iter = g_sequence_insert_sorted (flow->requests, request, compare_deadlines, NULL);
   self->length++;
   flow->waiting.count++;
   flow->waiting.tokens += request->need.tokens;
@@ -121,7 +121,7 @@
 {
   Flow *flow;
 
-  if (request->place == NULL)
+  if (request->queue_iter == NULL)
     return;
   flow = find_flow (self, request);
   flow->waiting.count--;
@@ -129,8 +129,8 @@
   flow->waiting.prefill -= request->need.prefill;
   if (flow->waiting.count == 0)
     flow->waiting.largest = 0;
-  g_sequence_remove (request->place);
-  request->place = NULL;
+  g_sequence_remove (request->queue_iter);
+  request->queue_iter = NULL;
   self->length--;
 }
 
@@ -167,11 +167,11 @@
 }
 
 static gboolean
-try_heads (EnQueue *self, Flow *flow, EnQueueTry try_dispatch, gpointer data)
+try_heads (EnQueue *self, Flow *flow, EnQueueTryFunc try_dispatch, gpointer data)
 {
   GSequenceIter *iter = g_sequence_get_begin_iter (flow->requests);
 
-  for (guint i = 0; i < HEADS && !g_sequence_iter_is_end (iter); i++)
+  for (guint i = 0; i < MAX_HEADS && !g_sequence_iter_is_end (iter); i++)
     {
       EnRequest *request = g_sequence_get (iter);
 
@@ -183,7 +183,7 @@
 }
 
 void
-en_queue_run (EnQueue *self, EnQueueTry try_dispatch, gpointer data)
+en_queue_run (EnQueue *self, EnQueueTryFunc try_dispatch, gpointer data)
 {
   Flow *flow;
 
--- a/entry/record.c
+++ b/entry/record.c
@@ -9,11 +9,11 @@
 
 #include "entry/core_internal.h"
 
-#define BEGIN_LIMIT  (3 * KNL_SEC)
-#define FINISH_LIMIT (2 * KNL_SEC)
+#define BEGIN_TIMEOUT  (3 * KNL_SEC)
+#define FINISH_TIMEOUT (2 * KNL_SEC)
 
 /* Longer answers aren't stored; a repeated request is told only that the first one ran. */
-#define ANSWER_KEPT ((gsize)64 * 1024)
+#define MAX_STORED_ANSWER ((gsize)64 * 1024)
 
 #define RETRY_AFTER (1 * KNL_SEC)
 
@@ -46,7 +46,7 @@
 };
 
 static void
-end_by_row (EnCore *core, EnRequest *request, const VerdictRow *row)
+end_with_error (EnCore *core, EnRequest *request, const VerdictRow *row)
 {
   EnError error = {
     .code = row->code,
@@ -97,11 +97,11 @@
   en_request_note (request, knl_kernel_now (core->kernel), "answered-from-record", "%s",
                    verdict->attempt);
   if (verdict->status == 0)
-    end_by_row (core, request, &not_kept);
+    end_with_error (core, request, &not_kept);
   else if (request->model == NULL)
     en_core_end_done (core, request, &answer);
   else if (!replay_stream (core, request, verdict))
-    end_by_row (core, request, &not_kept);
+    end_with_error (core, request, &not_kept);
 }
 
 static void
@@ -120,9 +120,9 @@
   else if (verdict->verdict == ALDERTURN__IDEM_VERDICT__IDEM_VERDICT_DONE)
     replay (core, request, verdict);
   else if ((guint)verdict->verdict < G_N_ELEMENTS (verdict_rows))
-    end_by_row (core, request, &verdict_rows[verdict->verdict]);
+    end_with_error (core, request, &verdict_rows[verdict->verdict]);
   else
-    end_by_row (core, request, &verdict_rows[0]);
+    end_with_error (core, request, &verdict_rows[0]);
 }
 
 void
@@ -134,13 +134,13 @@
   request->answer = g_string_new (NULL);
   request->record_call =
       en_records_begin (core->records, request->workspace, request->key, request->fingerprint,
-                        request->id, MIN (BEGIN_LIMIT, left), on_begun, request);
+                        request->id, MIN (BEGIN_TIMEOUT, left), on_begun, request);
 }
 
 void
-en_core_keep_answer (EnRequest *request, const char *text)
+en_core_append_answer (EnRequest *request, const char *text)
 {
-  if (request->answer != NULL && request->answer->len <= ANSWER_KEPT)
+  if (request->answer != NULL && request->answer->len <= MAX_STORED_ANSWER)
     g_string_append (request->answer, text);
 }
 
@@ -181,7 +181,7 @@
 static void
 copy_answer (EnRequest *request, const EnAnswer *answer)
 {
-  request->kept = (EnAnswer){
+  request->pending_answer = (EnAnswer){
     .count = answer->count,
     .finish = g_strdup (answer->finish),
     .status = answer->status,
@@ -200,11 +200,11 @@
   request->record_call = 0;
   en_request_note (request, knl_kernel_now (request->core->kernel), "outcome-recorded", "%s",
                    durable ? "durable" : "not yet durable");
-  en_core_end_done (request->core, request, &request->kept);
+  en_core_end_done (request->core, request, &request->pending_answer);
 }
 
 static char *
-kept_stream (const EnRequest *request, const EnAnswer *answer)
+stored_stream_json (const EnRequest *request, const EnAnswer *answer)
 {
   json_t *json = json_pack ("{s:s%, s:I, s:s*}", "text", request->answer->str, request->answer->len,
                             "count", (json_int_t)answer->count, "finish", answer->finish);
@@ -236,16 +236,16 @@
       return;
     }
   copy_answer (request, answer);
-  if (request->model == NULL && answer->body_bytes <= ANSWER_KEPT)
+  if (request->model == NULL && answer->body_bytes <= MAX_STORED_ANSWER)
     {
       finish.status = answer->status;
       finish.content_type = answer->content_type;
       finish.body = answer->body;
       finish.body_bytes = answer->body_bytes;
     }
-  else if (request->model != NULL && request->answer->len <= ANSWER_KEPT)
+  else if (request->model != NULL && request->answer->len <= MAX_STORED_ANSWER)
     {
-      stream = kept_stream (request, answer);
+      stream = stored_stream_json (request, answer);
       finish.status = 200;
       finish.content_type = "application/json";
       finish.body = stream;
@@ -255,7 +255,7 @@
   request->record_closed = TRUE;
   request->record_call = en_records_finish (
       core->records, &finish,
-      CLAMP (request->deadline - knl_kernel_now (core->kernel), KNL_MSEC, FINISH_LIMIT),
+      CLAMP (request->deadline - knl_kernel_now (core->kernel), KNL_MSEC, FINISH_TIMEOUT),
       on_finished, request);
   free (stream);
 }
--- a/entry/records.c
+++ b/entry/records.c
@@ -4,11 +4,11 @@
 #include "common/retry.h"
 #include "wire/frame.h"
 
-#define RETRY_FIRST (200 * KNL_MSEC)
-#define RETRY_LIMIT (2 * KNL_SEC)
+#define MIN_RETRY_DELAY (200 * KNL_MSEC)
+#define MAX_RETRY_DELAY (2 * KNL_SEC)
 
 /* If no holder accepts the outcome by then, the record stays begun and reads "unknown" later. */
-#define FINISH_GIVE_UP (60 * KNL_SEC)
+#define FINISH_TIMEOUT (60 * KNL_SEC)
 
 struct EnRecords
 {
@@ -81,7 +81,7 @@
   call->id = ++self->last_call;
   call->data = data;
   call->started = knl_kernel_now (self->kernel);
-  call->backoff = (CmBackoff){ .first = RETRY_FIRST, .limit = RETRY_LIMIT };
+  call->backoff = (CmBackoff){ .first = MIN_RETRY_DELAY, .limit = MAX_RETRY_DELAY };
   call->finish = *finish;
   call->finish.workspace = g_strdup (finish->workspace);
   call->finish.key = g_strdup (finish->key);
@@ -113,7 +113,7 @@
   en_uplink_send (self->uplink, WR_FRAME (IDEM_FINISH, idem_finish, &body));
   call->retry = knl_timer_start (self->kernel, cm_backoff_next (&call->backoff, self->kernel),
                                  send_finish, call);
-  if (knl_kernel_now (self->kernel) - call->started <= FINISH_GIVE_UP)
+  if (knl_kernel_now (self->kernel) - call->started <= FINISH_TIMEOUT)
     return;
   cm_log (CM_LOG_WARNING, "record-not-finished", "s", "workspace", call->finish.workspace, "s",
           "attempt", call->finish.attempt);
@@ -224,7 +224,7 @@
 
 /* For a verdict after the limit there is no call: the attempt has been recorded as not run. */
 void
-en_records_take_begun (EnRecords *self, const Alderturn__IdemReply *reply)
+en_records_handle_begun (EnRecords *self, const Alderturn__IdemReply *reply)
 {
   Call *call = g_hash_table_lookup (self->calls, &reply->call);
   EnRecordVerdict verdict = {
@@ -244,7 +244,7 @@
 }
 
 void
-en_records_take_finished (EnRecords *self, const Alderturn__IdemFinishReply *reply)
+en_records_handle_finished (EnRecords *self, const Alderturn__IdemFinishReply *reply)
 {
   Call *call = g_hash_table_lookup (self->calls, &reply->call);
 
--- a/entry/request.c
+++ b/entry/request.c
@@ -3,7 +3,7 @@
 #include "common/log.h"
 
 /* Beyond this number, a new event replaces the last one. */
-#define EVENTS_MOST 64
+#define MAX_EVENTS 64
 
 static const char *const state_names[] = {
   [EN_STATE_RECEIVED] = "received",   [EN_STATE_AUTHENTICATED] = "authenticated",
@@ -57,9 +57,9 @@
   g_free (request->blocks);
   g_free (request->endpoint);
   en_progress_clear (&request->progress);
-  g_free ((char *)request->kept.finish);
-  g_free ((char *)request->kept.content_type);
-  g_free ((char *)request->kept.body);
+  g_free ((char *)request->pending_answer.finish);
+  g_free ((char *)request->pending_answer.content_type);
+  g_free ((char *)request->pending_answer.body);
   if (request->answer != NULL)
     g_string_free (request->answer, TRUE);
   g_array_unref (request->events);
@@ -86,7 +86,7 @@
   if (format != NULL)
     row.detail = g_strdup_vprintf (format, args);
   va_end (args);
-  if (request->events->len >= EVENTS_MOST)
-    g_array_set_size (request->events, EVENTS_MOST - 1);
+  if (request->events->len >= MAX_EVENTS)
+    g_array_set_size (request->events, MAX_EVENTS - 1);
   g_array_append_val (request->events, row);
 }
--- a/entry/reservation.c
+++ b/entry/reservation.c
@@ -58,9 +58,9 @@
 }
 
 static guint64
-most_of (const EnReservationHost *host, const EnEndpoint *endpoint, double part)
+max_part_tokens (const EnReservationHost *host, const EnEndpoint *endpoint, double part)
 {
-  return (guint64)((double)en_credits_most (host->credits, endpoint) * part);
+  return (guint64)((double)en_credits_max_tokens (host->credits, endpoint) * part);
 }
 
 static int
@@ -82,7 +82,7 @@
     {
       EnEndpoint *endpoint = g_ptr_array_index (engines, i);
 
-      tokens -= MIN (most_of (host, endpoint, part), tokens);
+      tokens -= MIN (max_part_tokens (host, endpoint, part), tokens);
       g_ptr_array_add (chosen, endpoint);
     }
   if (tokens > 0)
@@ -108,7 +108,7 @@
   for (guint i = 0; i < chosen->len && left > 0; i++)
     {
       const EnEndpoint *endpoint = g_ptr_array_index (chosen, i);
-      guint64 tokens = MIN (left, most_of (host, endpoint, part));
+      guint64 tokens = MIN (left, max_part_tokens (host, endpoint, part));
 
       /* The answer is never divided: the parts before the last hold only prompt tokens. */
       if (tokens < left)
@@ -135,13 +135,13 @@
 }
 
 static gboolean
-has_room (EnReservation *self, const Part *part)
+has_capacity (EnReservation *self, const Part *part)
 {
   EnEndpoint *endpoint = en_fleet_find (self->host.host->fleet, part->endpoint);
   EnNeed need = { .tokens = part->tokens, .is_long = TRUE };
 
   return endpoint != NULL && en_endpoint_usable (endpoint, knl_kernel_now (self->host.host->kernel))
-         && en_credits_has_room (self->host.credits, endpoint, &need);
+         && en_credits_has_capacity (self->host.credits, endpoint, &need);
 }
 
 gboolean
@@ -149,7 +149,7 @@
 {
   for (guint i = 0; i < self->parts->len; i++)
     {
-      if (!has_room (self, g_ptr_array_index (self->parts, i)))
+      if (!has_capacity (self, g_ptr_array_index (self->parts, i)))
         return FALSE;
     }
   for (guint i = 0; i < self->parts->len; i++)
@@ -163,7 +163,7 @@
 }
 
 guint64
-en_reservation_wants (const EnReservation *self, const char *endpoint)
+en_reservation_missing_tokens (const EnReservation *self, const char *endpoint)
 {
   for (guint i = 0; i < self->parts->len; i++)
     {
@@ -176,13 +176,13 @@
 }
 
 guint
-en_reservation_parts (const EnReservation *self)
+en_reservation_n_parts (const EnReservation *self)
 {
   return self->parts->len;
 }
 
 KnlTime
-en_reservation_started (const EnReservation *self)
+en_reservation_started_at (const EnReservation *self)
 {
   return self->started;
 }
@@ -209,7 +209,7 @@
 }
 
 static void
-tell_if_held (EnReservation *self)
+notify_if_held (EnReservation *self)
 {
   Part *last = g_ptr_array_index (self->parts, self->parts->len - 1);
   EnCharge *charge = last->charge;
@@ -242,7 +242,7 @@
   Part *part = data;
 
   part->held = TRUE;
-  tell_if_held (part->owner);
+  notify_if_held (part->owner);
 }
 
 static void
@@ -268,7 +268,7 @@
 
 /* Moves the cut to the start of a character, as each part must be valid UTF-8 by itself. */
 static gsize
-cut_at (const char *text, gsize length, gsize wanted)
+char_boundary_at (const char *text, gsize length, gsize wanted)
 {
   gsize at = MIN (wanted, length);
 
@@ -294,29 +294,29 @@
    */
   if (self->parts->len == 1)
     {
-      tell_if_held (self);
+      notify_if_held (self);
       return;
     }
   for (guint i = 0; i + 1 < self->parts->len; i++)
     {
       Part *part = g_ptr_array_index (self->parts, i);
       EnEndpoint *endpoint = en_fleet_find (self->host.host->fleet, part->endpoint);
-      gsize to = cut_at (text, length, from + part->tokens * EN_TOKEN_BYTES);
+      gsize to = char_boundary_at (text, length, from + part->tokens * EN_TOKEN_BYTES);
       char *id = next_id (self->host.data);
-      EnAttemptStart of_part = *start;
+      EnAttemptStart part_start = *start;
       EnCharge *charge = part->charge;
 
       cm_invariant (endpoint != NULL && charge != NULL, "a reservation has all its parts");
-      of_part.request = id;
-      of_part.prompt = g_bytes_new_from_bytes (start->prompt, from, to - from);
-      of_part.prompt_tokens = part->tokens;
-      of_part.max_tokens = 0;
-      of_part.hold = TRUE;
-      of_part.progress = &part->progress;
+      part_start.request = id;
+      part_start.prompt = g_bytes_new_from_bytes (start->prompt, from, to - from);
+      part_start.prompt_tokens = part->tokens;
+      part_start.max_tokens = 0;
+      part_start.hold = TRUE;
+      part_start.progress = &part->progress;
       part->charge = NULL;
       part->attempt =
-          en_attempt_new (self->host.host, endpoint, charge, &of_part, &part_events, part);
-      g_bytes_unref (of_part.prompt);
+          en_attempt_new (self->host.host, endpoint, charge, &part_start, &part_events, part);
+      g_bytes_unref (part_start.prompt);
       g_free (id);
       from = to;
     }
--- a/entry/reserve.c
+++ b/entry/reserve.c
@@ -12,16 +12,16 @@
  * as both request it. The time that an entry tries, and its pause afterwards, are
  * random, so that one of them remains and is granted everything.
  */
-#define PATIENCE_LEAST (3 * KNL_SEC)
-#define PATIENCE_MOST  (15 * KNL_SEC)
-#define PAUSE_MOST     (4 * KNL_SEC)
+#define ACQUIRE_TIMEOUT_MIN (3 * KNL_SEC)
+#define ACQUIRE_TIMEOUT_MAX (15 * KNL_SEC)
+#define ACQUIRE_PAUSE_MAX   (4 * KNL_SEC)
 
 /* The engines in this entry's order of preference; each retry starts with another one. */
 static GPtrArray *
 engines_for (EnCore *core, const EnRequest *request)
 {
   return en_router_long_engines (core->router, request->label, request->service, core->instance,
-                                 request->reserve_tries);
+                                 request->reserve_attempts);
 }
 
 gboolean
@@ -37,7 +37,8 @@
   g_ptr_array_unref (engines);
   if (largest == 0 || !request->need.is_long)
     return FALSE;
-  return request->need.tokens > (several ? (guint64)((double)largest * EN_ENGINE_PART) : largest);
+  return request->need.tokens
+         > (several ? (guint64)((double)largest * EN_ENGINE_FRACTION) : largest);
 }
 
 static char *
@@ -66,7 +67,7 @@
       return;
     }
   en_charge_return (charge, core->fleet);
-  en_core_take_loss (core, request, &gone);
+  en_core_handle_loss (core, request, &gone);
 }
 
 static void
@@ -74,7 +75,7 @@
 {
   EnRequest *request = data;
 
-  en_core_take_loss (request->core, request, loss);
+  en_core_handle_loss (request->core, request, loss);
 }
 
 static const EnReservationEvents reservation_events = {
@@ -86,10 +87,10 @@
  * Fractions of an engine's memory, tried from the smallest: two entries that want
  * the same engine can both be granted a small one.
  */
-static const double parts[] = { 0.25, 0.5, 0.8 };
+static const double part_fractions[] = { 0.25, 0.5, 0.8 };
 
 static EnReservation *
-plan (EnCore *core, EnRequest *request)
+plan_reservation (EnCore *core, EnRequest *request)
 {
   EnReservationHost host = {
     .host = &core->host,
@@ -100,40 +101,41 @@
   GPtrArray *engines = engines_for (core, request);
   EnReservation *reservation = NULL;
 
-  for (guint i = 0; i < G_N_ELEMENTS (parts) && reservation == NULL; i++)
-    reservation =
-        en_reservation_new (&host, engines, parts[i], request->need.prefill, request->max_tokens);
+  for (guint i = 0; i < G_N_ELEMENTS (part_fractions) && reservation == NULL; i++)
+    reservation = en_reservation_new (&host, engines, part_fractions[i], request->need.prefill,
+                                      request->max_tokens);
   g_ptr_array_unref (engines);
   return reservation;
 }
 
 static void
-give_up_acquiring (EnCore *core, EnRequest *request, KnlTime now)
+abandon_reservation (EnCore *core, EnRequest *request, KnlTime now)
 {
   en_reservation_free (request->reservation);
   request->reservation = NULL;
   core->acquiring = 0;
-  request->reserve_tries++;
-  request->reserve_after = now + g_rand_int_range (knl_kernel_rand (core->kernel), 0, PAUSE_MOST);
+  request->reserve_attempts++;
+  request->next_reserve_at =
+      now + g_rand_int_range (knl_kernel_rand (core->kernel), 0, ACQUIRE_PAUSE_MAX);
   en_request_note (request, now, "reservation-given-back", NULL);
 }
 
 static void
-start (EnCore *core, EnRequest *request)
+start_reservation (EnCore *core, EnRequest *request)
 {
-  EnAttemptStart whole = {
+  EnAttemptStart request_start = {
     .model = request->model,
     .adapter = request->adapter,
     .prompt = request->prompt,
     .deadline = request->deadline,
   };
-  guint count = en_reservation_parts (request->reservation);
+  guint count = en_reservation_n_parts (request->reservation);
 
-  en_core_leave_queue (core, request);
+  en_core_dequeue (core, request);
   en_request_note (request, knl_kernel_now (core->kernel), "reserved", "parts: %u", count);
   request->may_have_run = request->may_have_run || count > 1;
   request->reservation_started = TRUE;
-  en_reservation_start (request->reservation, &whole, next_id);
+  en_reservation_start (request->reservation, &request_start, next_id);
 }
 
 /*
@@ -145,13 +147,14 @@
 {
   KnlTime now = knl_kernel_now (core->kernel);
 
-  if (now < request->reserve_after || (core->acquiring != 0 && core->acquiring != request->number))
+  if (now < request->next_reserve_at
+      || (core->acquiring != 0 && core->acquiring != request->number))
     return EN_RESERVE_WAITS;
   if (request->reservation == NULL)
     {
-      request->reservation = plan (core, request);
-      request->patience =
-          g_rand_int_range (knl_kernel_rand (core->kernel), PATIENCE_LEAST, PATIENCE_MOST);
+      request->reservation = plan_reservation (core, request);
+      request->acquire_timeout = g_rand_int_range (knl_kernel_rand (core->kernel),
+                                                   ACQUIRE_TIMEOUT_MIN, ACQUIRE_TIMEOUT_MAX);
     }
   if (request->reservation == NULL)
     return EN_RESERVE_IMPOSSIBLE;
@@ -159,10 +162,10 @@
   if (en_reservation_acquire (request->reservation))
     {
       core->acquiring = 0;
-      start (core, request);
+      start_reservation (core, request);
       return EN_RESERVE_STARTED;
     }
-  if (now - en_reservation_started (request->reservation) > request->patience)
-    give_up_acquiring (core, request, now);
+  if (now - en_reservation_started_at (request->reservation) > request->acquire_timeout)
+    abandon_reservation (core, request, now);
   return EN_RESERVE_WAITS;
 }
--- a/entry/router.c
+++ b/entry/router.c
@@ -14,13 +14,13 @@
 #define FAILURE_COST    (200 * KNL_MSEC)
 
 /* Prefill time that may be queued at an engine ahead of a short prompt. */
-#define ENGINE_QUEUE_LIMIT (200 * KNL_MSEC)
+#define MAX_ENGINE_QUEUE_TIME (200 * KNL_MSEC)
 
 /*
  * Long tokens of ours that may be in prefill on one engine at once, as a
  * multiple of the largest: more would only queue up in front of short prompts.
  */
-#define PENDING_LONG_LIMIT 400000
+#define MAX_PENDING_LONG_TOKENS 400000
 
 static gboolean
 is_for (const EnRoute *route, const EnEndpoint *endpoint)
@@ -91,7 +91,7 @@
 }
 
 static KnlTime
-time_for (guint64 tokens, const EnEndpoint *endpoint)
+prefill_time (guint64 tokens, const EnEndpoint *endpoint)
 {
   return (KnlTime)((double)tokens / rate_of (endpoint) * (double)KNL_SEC);
 }
@@ -119,7 +119,7 @@
 
   if (g_strcmp0 (endpoint->zone, route->zone) != 0)
     cost += OTHER_ZONE_COST;
-  return cost + time_for (tokens_ahead (route, endpoint) + own, endpoint);
+  return cost + prefill_time (tokens_ahead (route, endpoint) + own, endpoint);
 }
 
 /*
@@ -127,14 +127,14 @@
  * therefore wait here, and an engine gets the next one when its pending prefill is nearly done.
  */
 static gboolean
-has_queue (const EnRoute *route, const EnEndpoint *endpoint)
+has_backlog (const EnRoute *route, const EnEndpoint *endpoint)
 {
   return endpoint->pending_prefill > 0
-         && time_for (tokens_ahead (route, endpoint), endpoint) > ENGINE_QUEUE_LIMIT;
+         && prefill_time (tokens_ahead (route, endpoint), endpoint) > MAX_ENGINE_QUEUE_TIME;
 }
 
 static gboolean
-fits_rules (EnRouter *self, const EnRoute *route, const EnEndpoint *endpoint)
+is_eligible (EnRouter *self, const EnRoute *route, const EnEndpoint *endpoint)
 {
   if (!en_endpoint_usable (endpoint, route->now) || endpoint->exclusive)
     return FALSE;
@@ -143,13 +143,13 @@
   if (route->need.alone && endpoint->used_slots > 0)
     return FALSE;
   if (!route->need.is_long)
-    return self->klass->ignores_credits || !has_queue (route, endpoint);
+    return self->klass->ignores_credits || !has_backlog (route, endpoint);
   return endpoint->pending_long == 0
-         || endpoint->pending_long + route->need.prefill <= PENDING_LONG_LIMIT;
+         || endpoint->pending_long + route->need.prefill <= MAX_PENDING_LONG_TOKENS;
 }
 
 static void
-collect (EnRouter *self, const EnRoute *route)
+collect_candidates (EnRouter *self, const EnRoute *route)
 {
   const GPtrArray *endpoints = en_fleet_endpoints (self->fleet);
 
@@ -158,10 +158,10 @@
     {
       EnEndpoint *endpoint = g_ptr_array_index (endpoints, i);
 
-      if (!is_for (route, endpoint) || !fits_rules (self, route, endpoint))
+      if (!is_for (route, endpoint) || !is_eligible (self, route, endpoint))
         continue;
       if (!self->klass->ignores_credits
-          && !en_credits_has_room (self->credits, endpoint, &route->need))
+          && !en_credits_has_capacity (self->credits, endpoint, &route->need))
         continue;
       g_ptr_array_add (self->candidates, endpoint);
     }
@@ -170,7 +170,7 @@
 EnEndpoint *
 en_router_choose (EnRouter *self, const EnRoute *route)
 {
-  collect (self, route);
+  collect_candidates (self, route);
   if (self->candidates->len == 0)
     return NULL;
   return self->klass->choose (self, route, self->candidates);
@@ -178,7 +178,7 @@
 
 /* Whether the request would fit if nothing else ran on the engine. */
 static gboolean
-could_hold (const EnRoute *route, const EnEndpoint *endpoint)
+fits_when_idle (const EnRoute *route, const EnEndpoint *endpoint)
 {
   if (!en_endpoint_usable (endpoint, route->now) || endpoint->held_for != 0)
     return FALSE;
@@ -196,7 +196,7 @@
     {
       EnEndpoint *endpoint = g_ptr_array_index (endpoints, i);
 
-      if (!is_for (route, endpoint) || !could_hold (route, endpoint))
+      if (!is_for (route, endpoint) || !fits_when_idle (route, endpoint))
         continue;
       usable++;
       if (best == NULL || endpoint->used_tokens < best->used_tokens)
@@ -207,7 +207,7 @@
 }
 
 static EnEndpoint *
-least_estimate (const EnRoute *route, const GPtrArray *candidates)
+choose_lowest_estimate (const EnRoute *route, const GPtrArray *candidates)
 {
   EnEndpoint *best = g_ptr_array_index (candidates, 0);
 
@@ -215,9 +215,10 @@
     {
       EnEndpoint *endpoint = g_ptr_array_index (candidates, i);
       KnlTime estimate = en_route_estimate (route, endpoint);
-      KnlTime least = en_route_estimate (route, best);
+      KnlTime best_estimate = en_route_estimate (route, best);
 
-      if (estimate < least || (estimate == least && endpoint->used_tokens < best->used_tokens))
+      if (estimate < best_estimate
+          || (estimate == best_estimate && endpoint->used_tokens < best->used_tokens))
         best = endpoint;
     }
   return best;
@@ -226,7 +227,7 @@
 static EnEndpoint *
 credits_choose (EnRouter *self, const EnRoute *route, const GPtrArray *candidates)
 {
-  return least_estimate (route, candidates);
+  return choose_lowest_estimate (route, candidates);
 }
 
 static const EnRouterClass credits_class = {
--- a/entry/shares.c
+++ b/entry/shares.c
@@ -2,16 +2,16 @@
 
 #include <math.h>
 
-#define HALF_LIFE   (10 * KNL_SEC)
-#define UPDATE_LIFE (3 * KNL_SEC)
+#define HALF_LIFE  (10 * KNL_SEC)
+#define UPDATE_TTL (3 * KNL_SEC)
 
 /* A flood is more than this multiple of the third largest user's requests; up to two may flood. */
 #define FLOOD_FACTOR 2.5
 #define FLOOD_RANK   2
 
 /* Half-life of the request counts, and the count by weight below which there is no flood. */
-#define FLOOD_HALF_LIFE (20 * KNL_SEC)
-#define FLOOD_LEAST     20.0
+#define FLOOD_HALF_LIFE    (20 * KNL_SEC)
+#define MIN_FLOOD_REQUESTS 20.0
 
 struct EnShares
 {
@@ -89,7 +89,7 @@
 }
 
 void
-en_shares_served (EnShares *self, const char *workspace, guint64 tokens)
+en_shares_note_dispatched (EnShares *self, const char *workspace, guint64 tokens)
 {
   Row *row = find_row (self, workspace);
   KnlTime now = knl_kernel_now (self->kernel);
@@ -107,13 +107,13 @@
   KnlTime now = knl_kernel_now (self->kernel);
   double used = decayed (row->own, now - row->own_at);
 
-  if (row->all_at != 0 && now - row->all_at < UPDATE_LIFE)
+  if (row->all_at != 0 && now - row->all_at < UPDATE_TTL)
     used = decayed (row->all, now - row->all_at) + (double)(row->unreported + row->reported);
   return used / (double)row->weight;
 }
 
 gboolean
-en_shares_floods (EnShares *self, const char *workspace)
+en_shares_is_flooding (EnShares *self, const char *workspace)
 {
   KnlTime now = knl_kernel_now (self->kernel);
   const Row *own = find_row (self, workspace);
@@ -122,7 +122,7 @@
   GHashTableIter iter;
   gpointer value;
 
-  if (used < FLOOD_LEAST)
+  if (used < MIN_FLOOD_REQUESTS)
     return FALSE;
   g_hash_table_iter_init (&iter, self->rows);
   while (g_hash_table_iter_next (&iter, NULL, &value))
--- a/entry/submit.c
+++ b/entry/submit.c
@@ -16,8 +16,8 @@
  * by half, and a refusal is final: the service time counts by half only. The wait is raised, as
  * work on a request that then misses its limit is wasted.
  */
-#define SERVICE_TIME_PART 0.5
-#define WAIT_MARGIN       1.25
+#define SERVICE_TIME_FRACTION 0.5
+#define WAIT_FACTOR           1.25
 
 /* Retries of a service at one entry: a tenth of its load, plus a fixed number for low load. */
 const PolBudgetRule en_retry_budget = { .ratio = 0.1,
@@ -26,7 +26,7 @@
                                         .used_fraction = 1 };
 
 /* Prefix blocks that are looked up in engines' caches; covers the first million tokens. */
-#define BLOCKS_MOST 256
+#define MAX_BLOCKS 256
 
 static void
 index_workspace (const CoObject *object, gpointer data)
@@ -186,7 +186,7 @@
 }
 
 static gboolean
-check_room (Check *check)
+check_in_flight (Check *check)
 {
   EnCore *core = check->core;
   gint64 bound = co_object_integer (check->workspace, "max-in-flight");
@@ -202,7 +202,7 @@
 }
 
 static KnlTime
-limit_of (const Check *check)
+time_limit (const Check *check)
 {
   KnlTime limit = check->submission->limit;
 
@@ -234,11 +234,11 @@
 
 /* Refuses at once what can't be served in time, while the caller can still try another entry. */
 static gboolean
-check_time (Check *check)
+check_deadline (Check *check)
 {
   EnCore *core = check->core;
   EnRequest *request = check->request;
-  KnlTime limit = limit_of (check);
+  KnlTime limit = time_limit (check);
   guint64 capacity;
   KnlTime wait;
   KnlTime expected;
@@ -252,8 +252,8 @@
   wait = en_estimates_wait (core->estimates, request->service,
                             request->need.is_long ? EN_LANE_LONG : EN_LANE_SHORT,
                             request->workspace, request->deadline);
-  expected = (KnlTime)(SERVICE_TIME_PART * (double)en_core_service_time (core, request)
-                       + WAIT_MARGIN * (double)wait);
+  expected = (KnlTime)(SERVICE_TIME_FRACTION * (double)en_core_service_time (core, request)
+                       + WAIT_FACTOR * (double)wait);
   if (expected <= limit)
     return TRUE;
   return refuse (check, EN_ERROR_OVERLOADED, "it can't be served within its limit",
@@ -264,8 +264,8 @@
 run_checks (Check *check)
 {
   static gboolean (*const checks[]) (Check *) = {
-    check_workspace,   check_draining, check_service, check_content,
-    check_idempotence, check_room,     check_time,
+    check_workspace,   check_draining,  check_service,  check_content,
+    check_idempotence, check_in_flight, check_deadline,
   };
 
   for (guint i = 0; i < G_N_ELEMENTS (checks); i++)
@@ -298,9 +298,9 @@
   if (submission->prompt != NULL)
     {
       request->prompt = g_bytes_new (submission->prompt, submission->prompt_bytes);
-      request->blocks = g_new (guint64, BLOCKS_MOST);
+      request->blocks = g_new (guint64, MAX_BLOCKS);
       request->n_blocks = cm_prefix_hashes (submission->prompt, submission->prompt_bytes,
-                                            request->blocks, BLOCKS_MOST);
+                                            request->blocks, MAX_BLOCKS);
       return;
     }
   request->method = g_strdup (submission->method);
@@ -336,7 +336,7 @@
                    request->need.prefill, request->need.is_long ? "long" : "short");
   cm_series_set (core->meters->in_flight, g_hash_table_size (core->requests));
   note_in_budget (core, request->service);
-  en_core_set_limit (core, request, request->deadline);
+  en_core_set_deadline_timer (core, request, request->deadline);
 }
 
 static void
--- a/entry/subset.c
+++ b/entry/subset.c
@@ -3,12 +3,12 @@
 #include "coord/subset.h"
 
 /* Minimum of engines that an entry uses per service and role, however many services there are. */
-#define GROUP_LEAST 6
+#define MIN_GROUP_SIZE 6
 
 static gboolean
 is_placed_engine (const EnEndpoint *endpoint)
 {
-  return endpoint->kind == ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENGINE && !endpoint->gone
+  return endpoint->kind == ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENGINE && !endpoint->removed
          && endpoint->service != NULL;
 }
 
@@ -46,10 +46,10 @@
   return groups;
 }
 
-static CoPlace *
+static CoNode *
 entry_places_new (const GPtrArray *entries, guint *n)
 {
-  CoPlace *places = g_new0 (CoPlace, entries->len + 1);
+  CoNode *nodes = g_new0 (CoNode, entries->len + 1);
 
   *n = 0;
   for (guint i = 0; i < entries->len; i++)
@@ -57,31 +57,31 @@
       const EnPeer *peer = g_ptr_array_index (entries, i);
 
       if (peer->state != ALDERTURN__MEMBER_STATE__MEMBER_STATE_DEAD)
-        places[(*n)++] = (CoPlace){ .name = peer->name, .zone = peer->zone };
+        nodes[(*n)++] = (CoNode){ .name = peer->name, .zone = peer->zone };
     }
-  return places;
+  return nodes;
 }
 
 static void
 choose_in_group (const GPtrArray *group,
-                 const CoPlace *self,
-                 const CoPlace *entries,
+                 const CoNode *self,
+                 const CoNode *entries,
                  guint n_entries,
                  guint size)
 {
-  CoPlace *engines = g_new0 (CoPlace, group->len);
-  CoSubsetPart *parts = g_new0 (CoSubsetPart, group->len);
+  CoNode *engines = g_new0 (CoNode, group->len);
+  CoSubsetKind *kinds = g_new0 (CoSubsetKind, group->len);
 
   for (guint i = 0; i < group->len; i++)
     {
       const EnEndpoint *endpoint = g_ptr_array_index (group, i);
 
-      engines[i] = (CoPlace){ .name = endpoint->name, .zone = endpoint->zone };
+      engines[i] = (CoNode){ .name = endpoint->name, .zone = endpoint->zone };
     }
-  co_subset_choose (self, entries, n_entries, engines, group->len, size, parts);
+  co_subset_choose (self, entries, n_entries, engines, group->len, size, kinds);
   for (guint i = 0; i < group->len; i++)
-    ((EnEndpoint *)g_ptr_array_index (group, i))->other_subset = parts[i] == CO_SUBSET_NONE;
-  g_free (parts);
+    ((EnEndpoint *)g_ptr_array_index (group, i))->other_subset = kinds[i] == CO_SUBSET_NONE;
+  g_free (kinds);
   g_free (engines);
 }
 
@@ -91,21 +91,21 @@
                   const char *self,
                   const char *zone)
 {
-  CoPlace own = { .name = self, .zone = zone };
+  CoNode own = { .name = self, .zone = zone };
   GHashTable *groups = groups_new (endpoints);
   guint n_entries;
-  CoPlace *places;
+  CoNode *nodes;
   GHashTableIter iter;
   gpointer group;
 
   if (endpoints->len > CO_SUBSET_SIZE)
     {
-      places = entry_places_new (entries, &n_entries);
+      nodes = entry_places_new (entries, &n_entries);
       g_hash_table_iter_init (&iter, groups);
       while (g_hash_table_iter_next (&iter, NULL, &group))
-        choose_in_group (group, &own, places, n_entries,
-                         MAX (CO_SUBSET_SIZE / g_hash_table_size (groups), GROUP_LEAST));
-      g_free (places);
+        choose_in_group (group, &own, nodes, n_entries,
+                         MAX (CO_SUBSET_SIZE / g_hash_table_size (groups), MIN_GROUP_SIZE));
+      g_free (nodes);
     }
   g_hash_table_unref (groups);
 }
--- a/entry/uplink.c
+++ b/entry/uplink.c
@@ -5,9 +5,9 @@
 #include "common/log.h"
 #include "common/retry.h"
 
-#define RETRY_FIRST    (50 * KNL_MSEC)
-#define RETRY_LIMIT    (1 * KNL_SEC)
-#define LOCAL_INTERVAL (2 * KNL_SEC)
+#define MIN_RETRY_DELAY (50 * KNL_MSEC)
+#define MAX_RETRY_DELAY (1 * KNL_SEC)
+#define LOCAL_INTERVAL  (2 * KNL_SEC)
 
 typedef struct
 {
@@ -19,10 +19,10 @@
   char *local;
   char **others;
   guint next_other;
-  WrLink *link;  /* in use, or NULL */
-  WrLink *trial; /* being opened, or NULL */
+  WrLink *link;         /* in use, or NULL */
+  WrLink *opening_link; /* being opened, or NULL */
   gboolean link_is_local;
-  gboolean trial_is_local;
+  gboolean opening_is_local;
   gboolean local_failed; /* the local one failed last: the next attempt goes to another */
   CmBackoff backoff;
   KnlTimerId timer;
@@ -42,13 +42,13 @@
 {
   Uplink *self = data;
 
-  if (link != self->trial)
+  if (link != self->opening_link)
     return;
   if (self->link != NULL)
     wr_link_close (self->link);
   self->link = link;
-  self->link_is_local = self->trial_is_local;
-  self->trial = NULL;
+  self->link_is_local = self->opening_is_local;
+  self->opening_link = NULL;
   self->local_failed = !self->link_is_local;
   cm_backoff_reset (&self->backoff);
   cm_log (CM_LOG_INFO, "controller-link-open", "s", "controller", peer->instance, "b", "local",
@@ -71,10 +71,10 @@
 {
   Uplink *self = data;
 
-  if (link == self->trial)
+  if (link == self->opening_link)
     {
-      self->trial = NULL;
-      if (self->trial_is_local)
+      self->opening_link = NULL;
+      if (self->opening_is_local)
         self->local_failed = TRUE;
       schedule (self, self->link != NULL ? LOCAL_INTERVAL
                                          : cm_backoff_next (&self->backoff, self->kernel));
@@ -122,7 +122,7 @@
   const char *address = self->local;
 
   self->timer = 0;
-  if (self->trial != NULL || (self->link != NULL && self->link_is_local))
+  if (self->opening_link != NULL || (self->link != NULL && self->link_is_local))
     return;
   if (self->link == NULL && self->local_failed)
     {
@@ -131,10 +131,10 @@
       if (other != NULL)
         address = other;
     }
-  self->trial_is_local = address == self->local;
+  self->opening_is_local = address == self->local;
   self->local_failed = FALSE;
-  self->trial = wr_transport_connect (self->transport, address, &link_events, self);
-  if (self->trial == NULL)
+  self->opening_link = wr_transport_connect (self->transport, address, &link_events, self);
+  if (self->opening_link == NULL)
     schedule (self, cm_backoff_next (&self->backoff, self->kernel));
 }
 
@@ -180,8 +180,8 @@
   knl_timer_stop (self->kernel, &self->timer);
   if (self->link != NULL)
     wr_link_close (self->link);
-  if (self->trial != NULL)
-    wr_link_close (self->trial);
+  if (self->opening_link != NULL)
+    wr_link_close (self->opening_link);
   g_strfreev (self->others);
   g_free (self->local);
   g_free (self);
@@ -204,6 +204,6 @@
   self->kernel = kernel;
   self->transport = transport;
   self->local = g_strdup (local_address);
-  self->backoff = (CmBackoff){ .first = RETRY_FIRST, .limit = RETRY_LIMIT };
+  self->backoff = (CmBackoff){ .first = MIN_RETRY_DELAY, .limit = MAX_RETRY_DELAY };
   return &self->base;
 }
--- a/gateway/follow.c
+++ b/gateway/follow.c
@@ -299,7 +299,7 @@
 static void
 log_unreadable (Gateway *self, const PlRow *row)
 {
-  if (cm_log_limit (&self->unreadable_log_limit, knl_kernel_now (self->process.kernel)))
+  if (cm_log_rate_limit_allows (&self->unreadable_log_limit, knl_kernel_now (self->process.kernel)))
     cm_log (CM_LOG_WARNING, "endpoint-unreadable", "s", "endpoint", row->key, "i", "row-version",
             (gint64)row->version, "i", "so-far", self->unreadable_log_limit.count);
 }
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -50,9 +50,9 @@
   KnlTime members_read_at;         /* 0: the list of members hasn't been read yet */
   KnlTime started_at;
   KnlTimerId source_timer;
-  SvPosition endpoints_revision;   /* newest row received from the endpoint table */
-  KnlTime endpoints_last_seen_at;  /* when the endpoint feed was last answered */
-  CmLogLimit unreadable_log_limit; /* endpoint rows that can't be decoded */
+  SvPosition endpoints_revision;       /* newest row received from the endpoint table */
+  KnlTime endpoints_last_seen_at;      /* when the endpoint feed was last answered */
+  CmLogRateLimit unreadable_log_limit; /* endpoint rows that can't be decoded */
   PlCall *member_call;
   PlAnswer *member_page; /* page of the list being processed; NULL: none */
   guint next_member_row; /* index of the next row in `member_page` */
@@ -70,7 +70,7 @@
   struct event *reload_signal;
   GHashTable *callback_series; /* callback name -> CmSeries */
   KnlTime callback_time_limit; /* callbacks that take longer are logged */
-  CmLogLimit slow_callback_log_limit;
+  CmLogRateLimit slow_callback_log_limit;
 } Gateway;
 
 /* main.c */
--- a/gateway/turns.c
+++ b/gateway/turns.c
@@ -48,7 +48,8 @@
 
   cm_series_record (series_of (self, name), (guint64)MAX (duration, 0));
   if (duration <= self->callback_time_limit
-      || !cm_log_limit (&self->slow_callback_log_limit, knl_kernel_now (self->process.kernel)))
+      || !cm_log_rate_limit_allows (&self->slow_callback_log_limit,
+                                    knl_kernel_now (self->process.kernel)))
     return;
   cm_log (CM_LOG_WARNING, "turn-long", "s", "callback", short_name (name), "i", "took-us", duration,
           "i", "limit-us", self->callback_time_limit, "i", "so-far",
--- a/include/common/log.h
+++ b/include/common/log.h
@@ -43,11 +43,11 @@
 {
   gint64 logged_at; /**< when a line was last allowed, us */
   gint64 count;     /**< occurrences, logged or not */
-} CmLogLimit;
+} CmLogRateLimit;
 
 /** Counts an occurrence. TRUE if it may be logged: at most one per second. `now`: on the caller's
  * clock, us. */
-gboolean cm_log_limit (CmLogLimit *limit, gint64 now);
+gboolean cm_log_rate_limit_allows (CmLogRateLimit *limit, gint64 now);
 
 /** Parses a severity's syslog name, such as "warning"; FALSE if the name is unknown. */
 gboolean cm_log_severity_parse (const char *name, CmLogSeverity *severity);
@@ -70,7 +70,7 @@
 #define cm_invariant(condition, name)                                                              \
   ((condition) ? TRUE : (cm_invariant_failed ((name), G_STRLOC), FALSE))
 
-void cm_invariant_failed (const char *name, const char *place);
+void cm_invariant_failed (const char *name, const char *location);
 
 /** Number of invariant failures in this process. */
 guint64 cm_invariant_failures (void);
--- a/include/common/settings.h
+++ b/include/common/settings.h
@@ -45,7 +45,7 @@
  * Fills `values` from the environment and `argv`. Unknown flags, unknown
  * ALDERTURN_ variables, missing values and invalid values are added to
  * `findings`. For --help GLib prints the help text and exits with status 0.
- * If `rest` isn't NULL, it receives the positional arguments (NULL-terminated,
+ * If `positional` isn't NULL, it receives the positional arguments (NULL-terminated,
  * free with g_strfreev), unless --version was given. If it is NULL, positional
  * arguments are findings.
  */
@@ -54,7 +54,7 @@
                                     int argc,
                                     char **argv,
                                     gpointer values,
-                                    char ***rest,
+                                    char ***positional,
                                     CmFindings *findings);
 
 /** Frees the strings in `values` and sets them to NULL. */
--- a/include/controller/engines.h
+++ b/include/controller/engines.h
@@ -40,8 +40,9 @@
 void ct_engines_refresh (CtEngines *engines);
 
 /** Adds grants (owned pointers) for those engines of `request` whose shard is held here. */
-void
-ct_engines_credit (CtEngines *engines, const Alderturn__CreditRequest *request, GPtrArray *grants);
+void ct_engines_grant_credit (CtEngines *engines,
+                              const Alderturn__CreditRequest *request,
+                              GPtrArray *grants);
 
 /** Rows of the engines whose shard is held here, for `show engines`; a new reference. */
 json_t *ct_engines_rows (const CtEngines *engines);
--- a/include/controller/gather.h
+++ b/include/controller/gather.h
@@ -19,14 +19,14 @@
 typedef void (*CtGatherFunc) (const json_t *rows, gpointer data);
 
 /** Opens links to all other known controllers, and returns the number of these controllers. */
-typedef guint (*CtGatherReachFunc) (gpointer data);
+typedef guint (*CtGatherConnectFunc) (gpointer data);
 
 typedef struct
 {
   KnlKernel *kernel;
   CtLinks *links;
   CtGatherRowsFunc own_rows;
-  CtGatherReachFunc reach;
+  CtGatherConnectFunc connect_all;
   gpointer data;
 } CtGatherOptions;
 
@@ -38,11 +38,11 @@
 /**
  * Calls `done` once, when all controllers have answered or after 700 ms; never inside this call.
  */
-void ct_gather_ask (CtGather *gather, const char *table, CtGatherFunc done, gpointer data);
+void ct_gather_start (CtGather *gather, const char *table, CtGatherFunc done, gpointer data);
 
 /** A link to a controller has opened: sends it the queries that are still pending. */
-void ct_gather_opened (CtGather *gather, CtPeer *peer);
+void ct_gather_on_peer_opened (CtGather *gather, CtPeer *peer);
 
 /** Handle frames received from peers. */
-void ct_gather_query (CtGather *gather, CtPeer *peer, const Alderturn__Query *query);
-void ct_gather_reply (CtGather *gather, const Alderturn__QueryReply *reply);
+void ct_gather_handle_query (CtGather *gather, CtPeer *peer, const Alderturn__Query *query);
+void ct_gather_handle_reply (CtGather *gather, const Alderturn__QueryReply *reply);
--- a/include/controller/links.h
+++ b/include/controller/links.h
@@ -19,10 +19,10 @@
   char *region;
   char *address;
   char *caller_address;
-  guint64 revision; /**< of the configuration in force there, as last reported */
-  KnlTime pulled;   /**< when its configuration was last requested; 0: never */
-  KnlTime used;     /**< when a frame other than a heartbeat was last sent to it */
-  gboolean dialed;  /**< this controller opened the link */
+  guint64 revision;            /**< of the configuration in force there, as last reported */
+  KnlTime config_requested_at; /**< when its configuration was last requested; 0: never */
+  KnlTime last_sent_at;        /**< when a frame other than a heartbeat was last sent to it */
+  gboolean dialed;             /**< this controller opened the link */
   gboolean draining;
   gboolean ready;
   guint in_flight;
--- a/include/controller/members.h
+++ b/include/controller/members.h
@@ -34,14 +34,14 @@
 void ct_members_free (CtMembers *members);
 
 /** The underlying membership. */
-CoMembers *ct_members_known (CtMembers *members);
+CoMembers *ct_members_membership (CtMembers *members);
 
 /** TRUE once the platform's instance list has been read. */
 gboolean ct_members_listed (const CtMembers *members);
 
 /** An entry has linked here or its draining state has changed; its link has closed. */
-void ct_members_entry (CtMembers *members, const CtPeer *peer);
-void ct_members_entry_gone (CtMembers *members, const CtPeer *peer);
+void ct_members_update_entry (CtMembers *members, const CtPeer *peer);
+void ct_members_remove_entry (CtMembers *members, const CtPeer *peer);
 
 /** Recomputes the view; to be called after a change of the configuration. */
 void ct_members_refresh (CtMembers *members);
--- a/include/controller/metered.h
+++ b/include/controller/metered.h
@@ -5,5 +5,5 @@
 #include "common/metrics.h"
 #include "table/table.h"
 
-/** The wrapper doesn't own `beneath`, the wrapped platform, or `metrics`; both must outlive it. */
-TbTable *ct_metered_platform_new (TbTable *beneath, KnlKernel *kernel, CmMetrics *metrics);
+/** The wrapper doesn't own `inner`, the wrapped platform, or `metrics`; both must outlive it. */
+TbTable *ct_metered_platform_new (TbTable *inner, KnlKernel *kernel, CmMetrics *metrics);
--- a/include/controller/order.h
+++ b/include/controller/order.h
@@ -32,5 +32,7 @@
  * Handles a report of the engine at `address`: sends an order if it differs from `wanted`. NULL:
  * no service wants the engine, no order is sent.
  */
-void
-ct_order_step (CtOrder *order, const char *address, const EpReport *report, const CtPlaced *wanted);
+void ct_order_handle_report (CtOrder *order,
+                             const char *address,
+                             const EpReport *report,
+                             const CtPlaced *wanted);
--- a/include/controller/relay.h
+++ b/include/controller/relay.h
@@ -42,10 +42,10 @@
  * The link to a controller. NULL while the link is being opened, which this starts, or if the
  * controller's address isn't known.
  */
-CtPeer *ct_relay_reach (const CtRelayOptions *options, const char *controller);
+CtPeer *ct_relay_connect (const CtRelayOptions *options, const char *controller);
 
 /** TRUE if the frame was of a type that the relay handles. */
-gboolean ct_relay_frame (CtRelay *relay, CtPeer *peer, const Alderturn__Frame *frame);
+gboolean ct_relay_handle_frame (CtRelay *relay, CtPeer *peer, const Alderturn__Frame *frame);
 
 /** A link has closed: the answers expected over it won't come. */
 void ct_relay_peer_closed (CtRelay *relay, const CtPeer *peer);
--- a/include/controller/relay_idem.h
+++ b/include/controller/relay_idem.h
@@ -13,7 +13,8 @@
 void ct_relay_idem_finish (CtRelayIdem *relay, CtPeer *peer, const Alderturn__IdemFinish *finish);
 
 /** Handle answers of other controllers. */
-void ct_relay_idem_reply (CtRelayIdem *relay, const Alderturn__IdemReply *reply);
-void ct_relay_idem_finished (CtRelayIdem *relay, const Alderturn__IdemFinishReply *reply);
+void ct_relay_idem_handle_reply (CtRelayIdem *relay, const Alderturn__IdemReply *reply);
+void ct_relay_idem_handle_finish_reply (CtRelayIdem *relay,
+                                        const Alderturn__IdemFinishReply *reply);
 
 guint ct_relay_idem_pending (const CtRelayIdem *relay);
--- a/include/controller/state.h
+++ b/include/controller/state.h
@@ -20,13 +20,13 @@
  * Controllers that are not among the readers of their zone poll the configuration's revision less
  * often by this factor.
  */
-#define CT_IDLE_POLLS 15
+#define CT_IDLE_POLL_FACTOR 15
 
 /** Number of controllers per zone that poll the configuration's revision at the short interval. */
 #define CT_READERS_PER_ZONE 2
 
 /** Timeout of an operator's apply. */
-#define CT_APPLY_LIMIT (5 * KNL_SEC)
+#define CT_APPLY_TIMEOUT (5 * KNL_SEC)
 
 struct CtController
 {
@@ -64,20 +64,22 @@
 
 /** Exchange of the configuration with peers. */
 void ct_config_send (CtController *controller, CtPeer *peer, guint64 have);
-void ct_config_changed (CoConfig *config, guint64 before, gpointer controller);
-void ct_config_ready (gpointer controller);
-void ct_config_peer_revision (CtController *controller, CtPeer *peer, guint64 revision);
-void
-ct_config_push (CtController *controller, const CtPeer *peer, const Alderturn__ConfigPush *push);
+void ct_config_on_changed (CoConfig *config, guint64 before, gpointer controller);
+void ct_config_on_ready (gpointer controller);
+void ct_config_handle_revision (CtController *controller, CtPeer *peer, guint64 revision);
+void ct_config_handle_push (CtController *controller,
+                            const CtPeer *peer,
+                            const Alderturn__ConfigPush *push);
 
 /** Called after the member view has changed. */
-void ct_controller_members_changed (CtMembers *members, gpointer controller);
+void ct_controller_on_members_changed (CtMembers *members, gpointer controller);
 
 /** Called when the crash count of a suspect has risen: sends the update to all peers. */
-void ct_controller_suspects_changed (const Alderturn__SuspectUpdate *update, gpointer controller);
+void ct_controller_on_suspects_changed (const Alderturn__SuspectUpdate *update,
+                                        gpointer controller);
 
 /** Sets the metrics of /metrics to the present values. */
-void ct_controller_gauge (CtController *controller);
+void ct_controller_update_metrics (CtController *controller);
 
 /** The rows of `show leases`; a new reference. */
 json_t *ct_show_leases (const CtController *controller);
--- a/include/coord/config_apply.h
+++ b/include/coord/config_apply.h
@@ -14,15 +14,15 @@
   CoConfig *replica;
   KnlTime limit;
   /** Called when the table is ahead of the replica; co_config_apply_resume() must follow a pull. */
-  void (*want_pull) (gpointer store, guint64 revision);
+  void (*request_pull) (gpointer store, guint64 revision);
   /** Called when the apply has ended; it is freed after the call. */
   void (*ended) (gpointer store, CoConfigApply *apply);
   gpointer store;
 } CoConfigApplyHost;
 
-/** Starts an apply. `host` must outlive it; `what` is copied. */
+/** Starts an apply. `host` must outlive it; `request` is copied. */
 CoConfigApply *co_config_apply_new (const CoConfigApplyHost *host,
-                                    const CoApply *what,
+                                    const CoApply *request,
                                     CoApplyFunc done,
                                     gpointer data);
 
--- a/include/coord/config_store.h
+++ b/include/coord/config_store.h
@@ -87,7 +87,7 @@
 void co_config_store_set_reader (CoConfigStore *store, gboolean reader);
 
 /** Reports a revision that exists elsewhere: the replica isn't ready below it. */
-void co_config_store_heard (CoConfigStore *store, guint64 revision);
+void co_config_store_note_revision (CoConfigStore *store, guint64 revision);
 
 /** Reports that a peer which was itself ready has sent its configuration. */
 void co_config_store_synced_by_peer (CoConfigStore *store);
