--- a/include/coord/credit.h
+++ b/include/coord/credit.h
@@ -27,7 +27,7 @@
 /** What is known about one process of an entry. */
 typedef enum
 {
-  CO_ENTRY_HERE,     /**< it is running, or nothing is known */
+  CO_ENTRY_PRESENT,  /**< it is running, or nothing is known */
   CO_ENTRY_MISSING,  /**< dead by membership: only a hint, as a process that is cut off looks the
                         same */
   CO_ENTRY_REPLACED, /**< it has certainly ended: a later process has its name */
@@ -42,14 +42,14 @@
 CoCredit *co_credit_new (const CoCreditOptions *options, KnlTime frozen_until);
 
 /** How long grants of a ledger that ends now may stay valid, also on clocks that run slower. */
-KnlTime co_credit_grants_last (const CoCreditOptions *options);
+KnlTime co_credit_grant_lifetime (const CoCreditOptions *options);
 void co_credit_free (CoCredit *credit);
 
 /** Applies the engine's report: its capacity, and the requests that it runs. */
 void co_credit_report (CoCredit *credit, const EpReport *report);
 
 /** Notes that an entry's credit request doesn't list this engine: it claims nothing there. */
-void co_credit_unclaimed (CoCredit *credit, const char *entry, guint64 incarnation);
+void co_credit_note_unclaimed (CoCredit *credit, const char *entry, guint64 incarnation);
 
 /**
  * Grants an entry what is available now. Returns FALSE before the first report, and
@@ -69,6 +69,6 @@
 GPtrArray *co_credit_leaks (CoCredit *credit, CoEntryStateFunc state_of, gpointer data);
 
 /** Tokens granted in total: for each entry its unexpired grants, or what is in use if more. */
-guint64 co_credit_given (CoCredit *credit);
+guint64 co_credit_committed (CoCredit *credit);
 
 guint64 co_credit_capacity (const CoCredit *credit);
--- a/include/coord/credit_private.h
+++ b/include/coord/credit_private.h
@@ -20,12 +20,12 @@
   guint claimed_slots;
   guint64 wanted_tokens; /* in total, including what is in use */
   guint wanted_slots;
-  guint64 largest;        /* tokens that one waiting request needs at once; 0: none */
-  KnlTime turn_since;     /* when it joined the queue for `largest` */
-  KnlTime seen;           /* time of its last request; -1: none */
-  KnlTime unclaimed_from; /* when it stopped claiming anything; KNL_NEVER: it claims something */
-  KnlTime gone_from;      /* when its process was first seen gone; KNL_NEVER: it isn't gone */
-  guint64 running_tokens; /* according to the engine's last report */
+  guint64 largest;         /* tokens that one waiting request needs at once; 0: none */
+  KnlTime queued_since;    /* when it joined the queue for `largest` */
+  KnlTime last_seen_at;    /* time of its last request; -1: none */
+  KnlTime unclaimed_since; /* when it stopped claiming anything; KNL_NEVER: it claims something */
+  KnlTime gone_since;      /* when its process was first seen gone; KNL_NEVER: it isn't gone */
+  guint64 running_tokens;  /* according to the engine's last report */
   guint running_slots;
 } CoCreditAccount;
 
@@ -40,7 +40,7 @@
   guint waiting;
   guint64 prefill_backlog;
   gboolean leaving;
-  KnlTime report_made;    /* when the engine made the report, on this process's clock */
+  KnlTime report_made_at; /* when the engine made the report, on this process's clock */
   guint64 foreign_tokens; /* of requests whose id names no entry */
   guint foreign_slots;
   GHashTable *accounts; /* name -> CoCreditAccount */
--- a/include/coord/idem_private.h
+++ b/include/coord/idem_private.h
@@ -10,11 +10,11 @@
 typedef struct
 {
   gboolean is_begin;
-  CoIdemRecord what; /* attempt and digest of a begin; attempt, state, answer of a finish */
+  CoIdemRecord args; /* attempt and digest of a begin; attempt, state, answer of a finish */
   guint64 call;
   KnlTime deadline;
-  CoIdemReplyFunc begun;     /* NULL: the result isn't reported */
-  CoIdemFinishFunc finished; /* likewise */
+  CoIdemReplyFunc on_begun;     /* NULL: the result isn't reported */
+  CoIdemFinishFunc on_finished; /* likewise */
   gpointer data;
 } CoIdemOp;
 
@@ -23,13 +23,13 @@
   CoIdem *idem;
   char *name; /* key of its row */
   guint shard;
-  GQueue ops;     /* CoIdemOp; the first is being processed */
-  gboolean known; /* record and version equal the table's while this process has the lease */
-  gboolean read;  /* the row must be read before it is written */
-  gboolean solo;  /* after a conflict or a lost answer: not batched with other keys */
-  gboolean open;  /* a write without an answer may still take effect */
-  gboolean busy;  /* waits for a batch, a read or a retry */
-  gboolean gone;  /* the key is freed when it is no longer busy */
+  GQueue ops;           /* CoIdemOp; the first is being processed */
+  gboolean known;       /* record and version equal the table's while this process has the lease */
+  gboolean must_read;   /* the row must be read before it is written */
+  gboolean write_alone; /* after a conflict or a lost answer: not batched with other keys */
+  gboolean unresolved;  /* a write without an answer may still take effect */
+  gboolean busy;        /* waits for a batch, a read or a retry */
+  gboolean lease_lost;  /* the key is freed when it is no longer busy */
   guint64 version;
   CoIdemRecord record;
   CoIdemRecord next; /* being written */
@@ -53,7 +53,7 @@
 };
 
 /** Queues a write of the key's record, in a batch with other keys. Takes ownership of `next`. */
-void co_idem_want_write (CoIdemKey *key, CoIdemRecord next);
+void co_idem_queue_write (CoIdemKey *key, CoIdemRecord next);
 
 /** Handles the result of the write; may free the key. */
 void co_idem_key_written (CoIdemKey *key, TbStatus status, guint64 version);
--- a/include/coord/lease_private.h
+++ b/include/coord/lease_private.h
@@ -10,12 +10,12 @@
   guint number;
   char *key;
   char *fence_key;
-  char *thing; /* key for rendezvous hashing */
+  char *hash_key; /* key for rendezvous hashing */
   /* As last read or written: */
   guint64 version; /* 0: there is no row */
   CoLeaseRow row;
-  KnlTime unchanged_since; /* when this version was first read or written */
-  KnlTime free_since;      /* since when it can be acquired; KNL_NEVER: it can't */
+  KnlTime unchanged_since;  /* when this version was first read or written */
+  KnlTime acquirable_since; /* since when it can be acquired; KNL_NEVER: it can't */
   KnlTime no_handover_until;
   /* Of this process: */
   gboolean held;
@@ -47,16 +47,16 @@
   KnlTime stable_since;  /* when the candidates last changed */
   KnlTimerId tick;
   KnlTimerId lapse_timer; /* notifies the observers of expired leases */
-  KnlTime renewed;        /* when renewals were last sent */
-  KnlTime handed_over;
+  KnlTime renewed_at;     /* when renewals were last sent */
+  KnlTime handed_over_at;
   /* The scan: */
   TbCallId scan_call;
-  KnlTime scan_sent;
-  KnlTime scanned; /* when the last successful one was sent; -1: none */
+  KnlTime scan_sent_at;
+  KnlTime scanned_at; /* when the last successful one was sent; -1: none */
   /* The write in flight, at most one: */
   TbCallId write_call;
   CoLeaseWrite write_kind;
-  KnlTime write_sent;
+  KnlTime write_sent_at;
   GArray *written;       /* shard numbers */
   KnlTime blocked_until; /* no writes until a scan sent at this time or later succeeds */
   guint acquire_batch;   /* maximum number of shards in one acquisition */
@@ -86,7 +86,7 @@
 guint co_lease_rank (const CoLeases *leases, const CoLeaseShard *shard);
 
 /** Whether this process should try to acquire the shard now. */
-gboolean co_lease_should_take (const CoLeases *leases, const CoLeaseShard *shard);
+gboolean co_lease_should_acquire (const CoLeases *leases, const CoLeaseShard *shard);
 
 /** Marks the shard as held by this process; `version` is that of the write that acquired it. */
 void co_lease_gain (CoLeases *leases, CoLeaseShard *shard, guint64 version);
--- a/include/coord/member_private.h
+++ b/include/coord/member_private.h
@@ -31,7 +31,7 @@
  * Handles a record received from outside; refutes false ones about this member
  * and the entries it vouches for.
  */
-void co_members_hear (CoMembers *members, const Alderturn__Member *update);
+void co_members_handle_record (CoMembers *members, const Alderturn__Member *update);
 
 /**
  * Applies `update` if it is newer and notifies the observers; returns the
@@ -47,16 +47,16 @@
 
 /**
  * Declares suspects dead whose deadline has passed. All deadlines are first
- * extended by `late`, a time in which this process could not receive
+ * extended by `stall`, a time in which this process could not receive
  * refutations.
  */
-void co_members_expire_suspects (CoMembers *members, KnlTime late);
+void co_members_expire_suspects (CoMembers *members, KnlTime stall);
 
 /** Removes members that have been dead for longer than the tombstone time. */
 void co_members_purge (CoMembers *members);
 
 /** Announces queued updates to a few controllers shortly, without waiting for the next probes. */
-void co_members_tell_soon (CoMembers *members);
+void co_members_announce_soon (CoMembers *members);
 
 /** Callbacks of the prober; their data is a CoMembers. */
-extern const CoProberOwner co_members_prober_owner;
+extern const CoProberCallbacks co_members_prober_callbacks;
--- a/include/coord/overlay.h
+++ b/include/coord/overlay.h
@@ -13,17 +13,17 @@
 #include "coord/subset.h"
 
 /** Up to this number of controllers form a full mesh. */
-#define CO_OVERLAY_ALL 12
+#define CO_OVERLAY_FULL_MESH_MAX 12
 
 /** Links that a controller opens in a larger fleet: in its own zone, and in each other zone. */
-#define CO_OVERLAY_OWN_ZONE   3
-#define CO_OVERLAY_OTHER_ZONE 1
+#define CO_OVERLAY_OWN_ZONE_LINKS   3
+#define CO_OVERLAY_OTHER_ZONE_LINKS 1
 
 /**
  * Sets `keep[i]` to whether `self` opens and keeps a link to `controllers[i]`.
  * Links that others open to `self` aren't included. `self` may be in the list.
  */
-void co_overlay_choose (const CoPlace *self,
-                        const CoPlace *controllers,
+void co_overlay_choose (const CoNode *self,
+                        const CoNode *controllers,
                         guint n_controllers,
                         gboolean *keep);
--- a/include/coord/prober.h
+++ b/include/coord/prober.h
@@ -26,18 +26,18 @@
   /** Called when neither a direct nor an indirect probe of the member was acknowledged. */
   void (*unanswered) (const char *name, gpointer data);
   /**
-   * Called once each period; `late` is how long this process failed to run (it
+   * Called once each period; `stall` is how long this process failed to run (it
    * was stopped), or 0.
    */
-  void (*period) (KnlTime late, gpointer data);
-} CoProberOwner;
+  void (*period) (KnlTime stall, gpointer data);
+} CoProberCallbacks;
 
 CoProber *co_prober_new (KnlKernel *kernel,
                          const char *self,
                          KnlTime period,
-                         KnlTime direct,
-                         KnlTime dead_probe,
-                         const CoProberOwner *owner,
+                         KnlTime direct_timeout,
+                         KnlTime dead_probe_interval,
+                         const CoProberCallbacks *callbacks,
                          gpointer data);
 void co_prober_free (CoProber *prober);
 
--- a/include/coord/shard.h
+++ b/include/coord/shard.h
@@ -15,12 +15,12 @@
 guint co_shard_of_pair (const char *kind, const char *name, guint n_shards);
 
 /**
- * Weight of candidate `name` for `thing`, by rendezvous hashing. The candidate
+ * Weight of candidate `name` for `key`, by rendezvous hashing. The candidate
  * with the highest weight should hold it; if a candidate fails, only what it
  * held moves.
  */
-guint64 co_rendezvous_weight (const char *name, const char *thing);
+guint64 co_rendezvous_weight (const char *name, const char *key);
 
-/** How many of `names` have a higher weight for `thing` than `self`; 0: self should hold it. */
+/** How many of `names` have a higher weight for `key` than `self`; 0: self should hold it. */
 guint
-co_rendezvous_rank (const char *const *names, guint n_names, const char *self, const char *thing);
+co_rendezvous_rank (const char *const *names, guint n_names, const char *self, const char *key);
--- a/include/coord/subset.h
+++ b/include/coord/subset.h
@@ -17,25 +17,25 @@
 {
   const char *name;
   const char *zone;
-} CoPlace;
+} CoNode;
 
 typedef enum
 {
   CO_SUBSET_NONE,
   CO_SUBSET_HOME,  /**< in the entry's own zone */
   CO_SUBSET_SPARE, /**< in another zone */
-} CoSubsetPart;
+} CoSubsetKind;
 
 /**
- * Sets `parts`, an array with one element for each of `engines`. `entries` are
+ * Sets `kinds`, an array with one element for each of `engines`. `entries` are
  * all live entries; `self` is counted even if it isn't among them. `size` is
  * the number of engines to choose, approximately. The order of the lists does
  * not matter.
  */
-void co_subset_choose (const CoPlace *self,
-                       const CoPlace *entries,
+void co_subset_choose (const CoNode *self,
+                       const CoNode *entries,
                        guint n_entries,
-                       const CoPlace *engines,
+                       const CoNode *engines,
                        guint n_engines,
                        guint size,
-                       CoSubsetPart *parts);
+                       CoSubsetKind *kinds);
--- a/include/coord/suspect.h
+++ b/include/coord/suspect.h
@@ -38,10 +38,10 @@
  * already.
  */
 gboolean
-co_suspects_crash (CoSuspects *suspects, const Alderturn__CrashReport *report, gboolean own);
+co_suspects_handle_crash (CoSuspects *suspects, const Alderturn__CrashReport *report, gboolean own);
 
 /** Applies the entries received from another controller. */
-void co_suspects_hear (CoSuspects *suspects, const Alderturn__SuspectUpdate *update);
+void co_suspects_handle_update (CoSuspects *suspects, const Alderturn__SuspectUpdate *update);
 
 /** Returns all entries; free with alderturn__suspect_update__free_unpacked(). */
 Alderturn__SuspectUpdate *co_suspects_all (CoSuspects *suspects);
--- a/include/ctl/condition.h
+++ b/include/ctl/condition.h
@@ -36,4 +36,4 @@
 char *cl_column_parse (ClParser *parser, const ClTable *table);
 
 /** Formats a cell as text: "-" for null, list items separated by commas; free with g_free. */
-char *cl_cell_text (const json_t *cell);
+char *cl_cell_to_text (const json_t *cell);
--- a/include/ctl/parser.h
+++ b/include/ctl/parser.h
@@ -17,7 +17,7 @@
 {
   const char *source; /**< name of the file or command line, for findings */
   GArray *tokens;
-  guint at;
+  guint position;
   CmFindings *findings;
   const ClLoader *loader;
 } ClParser;
@@ -33,14 +33,14 @@
 gboolean cl_parser_accept_word (ClParser *parser, const char *word);
 
 /** TRUE when the next token is this symbol or unquoted word. */
-gboolean cl_parser_sees_symbol (const ClParser *parser, const char *symbol);
-gboolean cl_parser_sees_word (const ClParser *parser, const char *word);
+gboolean cl_parser_next_is_symbol (const ClParser *parser, const char *symbol);
+gboolean cl_parser_next_is_word (const ClParser *parser, const char *word);
 
 /**
- * Consumes and returns a word or quoted text. Otherwise adds a finding, in which `what` describes
- * the missing element, and returns NULL.
+ * Consumes and returns a word or quoted text. Otherwise adds a finding, in which `expected`
+ * describes the missing element, and returns NULL.
  */
-const ClToken *cl_parser_expect_text (ClParser *parser, const char *what);
+const ClToken *cl_parser_expect_text (ClParser *parser, const char *expected);
 
 /** Consumes the symbol. Otherwise adds a finding and returns FALSE. */
 gboolean cl_parser_expect_symbol (ClParser *parser, const char *symbol);
--- a/include/ctl/session.h
+++ b/include/ctl/session.h
@@ -23,17 +23,18 @@
 
 /**
  * Requests `path` from the controllers in order until one answers with status
- * 200 or refuses. Returns the answer's body, or NULL and `*failure`. `patience`
+ * 200 or refuses. Returns the answer's body, or NULL and `*failure`. `extra_timeout`
  * is added to the time limit of a call, for paths where the controller itself
  * delays its answer.
  */
-json_t *cl_session_get (ClSession *session, const char *path, KnlTime patience, ClResult **failure);
+json_t *
+cl_session_get (ClSession *session, const char *path, KnlTime extra_timeout, ClResult **failure);
 
 /**
  * Requests `path` from all addresses. `replies` receives one reply per address, in the same order;
  * free each with cl_reply_free().
  */
-void cl_session_ask_all (ClSession *session,
+void cl_session_get_all (ClSession *session,
                          const char *const *addresses,
                          guint count,
                          const char *path,
--- a/include/entry/cancels.h
+++ b/include/entry/cancels.h
@@ -25,14 +25,14 @@
 
 /**
  * Cancels `request` at `address` and then returns `charge` (ownership is
- * transferred; may be NULL). `unsure`: the request itself may still reach the
+ * transferred; may be NULL). `repeat`: the request itself may still reach the
  * engine after the cancellation, which is therefore sent a second time later.
  */
 void en_cancels_add (EnCancels *cancels,
                      const char *address,
                      const char *request,
                      EnCharge *charge,
-                     gboolean unsure);
+                     gboolean repeat);
 
 /** Number of cancellations that are not acknowledged yet. */
 guint en_cancels_pending (const EnCancels *cancels);
--- a/include/entry/core.h
+++ b/include/entry/core.h
@@ -28,7 +28,7 @@
   guint64 max_queued;     /**< limit on requests that wait for an engine */
   guint64 max_new_tokens; /**< largest max_tokens that a caller may ask for */
   KnlTime max_limit;      /**< longer time limits of callers are reduced to it */
-  KnlTime keep;           /**< how long callers may cache the answer to GET /v1/entries */
+  KnlTime entries_ttl;    /**< how long callers may cache the answer to GET /v1/entries */
 } EnCoreSettings;
 
 /**
@@ -53,7 +53,7 @@
 
 /**
  * Submits a request. Returns its number, or 0 if it has already ended. `caller`
- * must stay valid until its `done` or `error` was called or en_core_caller_gone().
+ * must stay valid until its `done` or `error` was called or en_core_caller_disconnected().
  */
 guint64 en_core_submit (EnCore *core, const EnSubmission *submission, EnCaller *caller);
 
@@ -61,13 +61,13 @@
  * The caller has disconnected and is not called again. The request ends, unless its idempotency
  * record is durable: it then runs on without a caller.
  */
-void en_core_caller_gone (EnCore *core, guint64 number);
+void en_core_caller_disconnected (EnCore *core, guint64 number);
 
 /** Starts a graceful shutdown; a second call changes nothing. */
 void en_core_drain (EnCore *core, EnDrainedFunc drained, gpointer data);
 
 /** Whether the token belongs to a workspace. */
-gboolean en_core_knows_token (const EnCore *core, const char *token);
+gboolean en_core_has_token (const EnCore *core, const char *token);
 
 /** Whether it has a configuration and a full list of members, and isn't draining. */
 gboolean en_core_is_ready (const EnCore *core);
--- a/include/entry/credits.h
+++ b/include/entry/credits.h
@@ -16,7 +16,7 @@
  * holders reserve some for all entries, and the other entries' headroom is
  * granted too.
  */
-#define EN_ENGINE_PART 0.35
+#define EN_ENGINE_FRACTION 0.35
 
 typedef struct EnCredits EnCredits;
 
@@ -39,13 +39,14 @@
 void en_credits_set_incarnation (EnCredits *credits, guint64 incarnation);
 
 /** Whether the grant in force, or else the static share, has free capacity for `need`. */
-gboolean en_credits_has_room (EnCredits *credits, const EnEndpoint *endpoint, const EnNeed *need);
+gboolean
+en_credits_has_capacity (EnCredits *credits, const EnEndpoint *endpoint, const EnNeed *need);
 
 /**
  * The most tokens of the engine that this entry could get now: all of its capacity,
  * or without a grant the static share; 0: unknown.
  */
-guint64 en_credits_most (EnCredits *credits, const EnEndpoint *endpoint);
+guint64 en_credits_max_tokens (EnCredits *credits, const EnEndpoint *endpoint);
 
 /** Whether no grant is in force, so that the static share applies. */
 gboolean en_credits_is_static (EnCredits *credits, const EnEndpoint *endpoint);
@@ -54,7 +55,7 @@
  * Whether this entry gets the half of the engine that is not divided among all
  * entries while there is no holder.
  */
-gboolean en_credits_owns_rest (EnCredits *credits, const EnEndpoint *endpoint);
+gboolean en_credits_owns_undivided_half (EnCredits *credits, const EnEndpoint *endpoint);
 
 /** Creates the next credit request; the lifetime of its grants counts from this call. */
 Alderturn__CreditRequest *en_credits_request (EnCredits *credits, EnWantsFunc wants, gpointer data);
@@ -64,4 +65,4 @@
 void en_credits_apply (EnCredits *credits, const Alderturn__CreditReply *reply);
 
 /** Notes an engine's capacity from a grant or from its own report; 0 `tokens`: unknown, ignored. */
-void en_credits_saw_capacity (EnEndpoint *endpoint, guint64 tokens, guint slots);
+void en_credits_note_capacity (EnEndpoint *endpoint, guint64 tokens, guint slots);
--- a/include/entry/fleet.h
+++ b/include/entry/fleet.h
@@ -54,7 +54,7 @@
   EnRole role;
   guint64 incarnation;   /**< 0: unknown */
   guint epoch;           /**< rises when it restarts */
-  gboolean gone;         /**< no longer among the members */
+  gboolean removed;      /**< no longer among the members */
   gboolean drained;      /**< an operator declared it draining */
   gboolean other_subset; /**< not in this entry's subset of the engines */
   KnlTime leaving_until; /**< it advertised that it is leaving; gets no new work until then */
@@ -64,7 +64,7 @@
   guint capacity_slots;
   EnLoad load;
   KnlTime known_since;
-  KnlTime asked_at; /**< time of the last credit request for it */
+  KnlTime requested_at; /**< time of the last credit request for it */
 
   guint64 used_tokens; /**< charged by our own requests */
   guint used_slots;
@@ -74,7 +74,7 @@
   double prefill_rate;     /**< tokens a second; 0: unknown */
   guint crash_reported;    /**< crashes in epochs below this one have been reported */
   PolHealth health;        /**< from this entry's own requests */
-  gboolean unproven;       /**< an attempt there was lost and it has not answered since */
+  gboolean needs_answer;   /**< an attempt there was lost and it has not answered since */
   guint64 held_for;        /**< number of the request that it is kept free for; 0: none */
   gboolean exclusive;      /**< runs a suspect request and takes no other one */
   GHashTable *prefixes;    /**< set of hashes of prefix blocks expected in its cache */
@@ -118,7 +118,7 @@
 void en_fleet_apply_config (EnFleet *fleet, const CoConfig *config);
 
 /** Notes an incarnation that the endpoint itself reported. */
-void en_fleet_saw_incarnation (EnFleet *fleet, const char *name, guint64 incarnation);
+void en_fleet_note_incarnation (EnFleet *fleet, const char *name, guint64 incarnation);
 
 /** Returns the endpoint, or NULL if it is unknown or `name` is NULL. */
 EnEndpoint *en_fleet_find (EnFleet *fleet, const char *name);
@@ -142,16 +142,16 @@
 gboolean en_endpoint_usable (const EnEndpoint *endpoint, KnlTime now);
 
 /** Notes that the endpoint advertised that it is leaving and takes no new work. */
-void en_endpoint_leaves (EnEndpoint *endpoint, KnlTime now);
+void en_endpoint_note_leaving (EnEndpoint *endpoint, KnlTime now);
 
 /** Notes a lost attempt: an engine gets no new work until it has answered again. */
-void en_endpoint_lost (EnEndpoint *endpoint);
+void en_endpoint_note_loss (EnEndpoint *endpoint);
 
 /** Notes that it was unreachable or refused: starts a backoff that grows with each failure. */
-void en_endpoint_failed (EnEndpoint *endpoint, KnlTime now);
+void en_endpoint_note_failure (EnEndpoint *endpoint, KnlTime now);
 
 /** Notes that the endpoint accepted a request; ends its backoff. */
-void en_endpoint_worked (EnEndpoint *endpoint);
+void en_endpoint_note_success (EnEndpoint *endpoint);
 
 /** Charges `tokens` and `slots` to `endpoint`. */
 EnCharge *en_charge_new (EnEndpoint *endpoint, guint64 tokens, guint slots);
--- a/include/entry/http_caller.h
+++ b/include/entry/http_caller.h
@@ -16,9 +16,9 @@
 
 typedef enum
 {
-  EN_ANSWER_STREAM, /**< server-sent events */
-  EN_ANSWER_JSON,   /**< one JSON object, sent when the answer is complete */
-  EN_ANSWER_PASSED, /**< a plain service's answer, forwarded unchanged */
+  EN_ANSWER_STREAM,    /**< server-sent events */
+  EN_ANSWER_JSON,      /**< one JSON object, sent when the answer is complete */
+  EN_ANSWER_FORWARDED, /**< a plain service's answer, forwarded unchanged */
 } EnAnswerForm;
 
 /** Submits a request for `call`, whose data point to the new caller until it is answered. */
@@ -28,7 +28,7 @@
                             const EnSubmission *submission);
 
 /** Notes that the caller has disconnected, and frees it; NULL: nothing was submitted. */
-void en_http_caller_gone (EnHttpCaller *caller);
+void en_http_caller_disconnected (EnHttpCaller *caller);
 
 /** Answers `call` with an error, without submitting it to the core. */
 void en_http_refuse (HtCall *call, const EnError *error);
--- a/include/entry/progress.h
+++ b/include/entry/progress.h
@@ -43,9 +43,9 @@
  * `fresh_count` to its tokens (0: none). FALSE: the text differs from what the
  * caller has.
  */
-gboolean en_replay_take (EnReplay *replay,
-                         EnProgress *progress,
-                         guint count,
-                         const char *text,
-                         const char **fresh,
-                         guint *fresh_count);
+gboolean en_replay_add (EnReplay *replay,
+                        EnProgress *progress,
+                        guint count,
+                        const char *text,
+                        const char **fresh,
+                        guint *fresh_count);
--- a/include/entry/queue.h
+++ b/include/entry/queue.h
@@ -21,7 +21,7 @@
 } EnLane;
 
 /** Tries to dispatch a request; TRUE: it was dispatched or ended, and has left the queue. */
-typedef gboolean (*EnQueueTry) (EnRequest *request, gpointer data);
+typedef gboolean (*EnQueueTryFunc) (EnRequest *request, gpointer data);
 
 /** Sums over the requests that wait in one lane of one service. */
 typedef struct
@@ -51,7 +51,7 @@
 void en_queue_remove (EnQueue *queue, EnRequest *request);
 
 /** Tries waiting requests in fair order until none can be dispatched. */
-void en_queue_run (EnQueue *queue, EnQueueTry try_dispatch, gpointer data);
+void en_queue_run (EnQueue *queue, EnQueueTryFunc try_dispatch, gpointer data);
 
 guint en_queue_length (const EnQueue *queue);
 EnWaiting en_queue_waiting (const EnQueue *queue, const char *service, EnLane lane);
--- a/include/entry/records.h
+++ b/include/entry/records.h
@@ -68,8 +68,8 @@
  */
 void en_records_abandon (EnRecords *records, EnRecordCall *call);
 
-void en_records_take_begun (EnRecords *records, const Alderturn__IdemReply *reply);
-void en_records_take_finished (EnRecords *records, const Alderturn__IdemFinishReply *reply);
+void en_records_handle_begun (EnRecords *records, const Alderturn__IdemReply *reply);
+void en_records_handle_finished (EnRecords *records, const Alderturn__IdemFinishReply *reply);
 
 /** Number of outcomes that are not confirmed as durable yet. */
 guint en_records_pending (const EnRecords *records);
--- a/include/entry/request.h
+++ b/include/entry/request.h
@@ -82,14 +82,14 @@
   gboolean recorded;        /**< its idempotency record is durable */
   gboolean record_closed;   /**< its outcome has been sent for recording */
   EnRecordCall record_call; /**< begin or finish in progress; 0: none */
-  EnAnswer kept;            /**< the answer, while its outcome is being recorded */
+  EnAnswer pending_answer;  /**< the answer, while its outcome is being recorded */
   EnAttempt *attempt;
-  GSequenceIter *place; /**< position in the queue; NULL: not queued */
+  GSequenceIter *queue_iter; /**< position in the queue; NULL: not queued */
   EnReservation *reservation;
   gboolean reservation_started; /**< engines may hold its parts */
-  guint reserve_tries;
-  KnlTime patience;        /**< how long the reservation may take to be acquired */
-  KnlTime reserve_after;   /**< earliest time of the next try to reserve */
+  guint reserve_attempts;
+  KnlTime acquire_timeout; /**< how long the reservation may take to be acquired */
+  KnlTime next_reserve_at; /**< earliest time of the next try to reserve */
   EpCallId call;           /**< call to a plain service; 0: none */
   EnCharge *charge;        /**< of that call */
   char *endpoint;          /**< the endpoint in use, or the last one used */
--- a/include/entry/reservation.h
+++ b/include/entry/reservation.h
@@ -57,13 +57,13 @@
 gboolean en_reservation_acquire (EnReservation *reservation);
 
 /** Tokens that it has not been able to acquire at `endpoint` yet; 0: none. */
-guint64 en_reservation_wants (const EnReservation *reservation, const char *endpoint);
+guint64 en_reservation_missing_tokens (const EnReservation *reservation, const char *endpoint);
 
 /** Number of parts, each on another engine; may be 1. */
-guint en_reservation_parts (const EnReservation *reservation);
+guint en_reservation_n_parts (const EnReservation *reservation);
 
 /** Time at which it was planned; the caller frees one that has waited too long. */
-KnlTime en_reservation_started (const EnReservation *reservation);
+KnlTime en_reservation_started_at (const EnReservation *reservation);
 
 /**
  * Prefills and holds the parts of an acquired reservation. `start` describes the
--- a/include/entry/shares.h
+++ b/include/entry/shares.h
@@ -22,7 +22,7 @@
 gint64 en_shares_weight (EnShares *shares, const char *workspace);
 
 /** Counts a dispatched request of `tokens` tokens. */
-void en_shares_served (EnShares *shares, const char *workspace, guint64 tokens);
+void en_shares_note_dispatched (EnShares *shares, const char *workspace, guint64 tokens);
 
 /** Use divided by weight; the workspace with the lowest goes first. */
 double en_shares_virtual_time (EnShares *shares, const char *workspace);
@@ -32,7 +32,7 @@
  * others. Its requests then get a lower priority at the engines, where this
  * entry's queue has no influence on the order.
  */
-gboolean en_shares_floods (EnShares *shares, const char *workspace);
+gboolean en_shares_is_flooding (EnShares *shares, const char *workspace);
 
 void en_shares_apply (EnShares *shares, const Alderturn__ShareUpdate *update);
 
--- a/include/kernel/kernel.h
+++ b/include/kernel/kernel.h
@@ -84,8 +84,9 @@
 /** Runs one slice of a job; all other work waits meanwhile. FALSE: the job is done. */
 typedef gboolean (*KnlJobFunc) (gpointer data);
 
-/** Called after each callback that the loop has run; `took`: its duration on the kernel's clock. */
-typedef void (*KnlMeterFunc) (const char *name, KnlTime took, gpointer data);
+/** Called after each callback that the loop has run; `duration`: its duration on the kernel's
+ * clock. */
+typedef void (*KnlMeterFunc) (const char *name, KnlTime duration, gpointer data);
 
 /**
  * Creates a kernel on `runtime`, which must outlive it. `seed` seeds the
@@ -135,9 +136,9 @@
 /** Has `meter` called after each timer, message, job slice and span; NULL: none. */
 void knl_kernel_set_meter (KnlKernel *kernel, KnlMeterFunc meter, gpointer data);
 
-/** Reports to the meter a callback that the kernel didn't run, such as a socket's. `begun`: its
- * start, from knl_kernel_now(); `name`: a string literal. */
-void knl_span_end (KnlKernel *kernel, KnlTime begun, const char *name);
+/** Reports to the meter a callback that the kernel didn't run, such as a socket's. `started_at`:
+ * its start, from knl_kernel_now(); `name`: a string literal. */
+void knl_span_end (KnlKernel *kernel, KnlTime started_at, const char *name);
 
 /**
  * Passes ownership of `task`, allocated by the caller, to the kernel. `service`,
--- a/include/wire/heartbeat.h
+++ b/include/wire/heartbeat.h
@@ -7,16 +7,16 @@
 typedef struct
 {
   KnlTime interval;
-  KnlTime limit;
-  KnlTime answered; /**< when the peer last answered, or the start */
-  KnlTime checked;  /**< when wr_heartbeat_check() last ran, or the start */
-  guint64 sequence; /**< of the last heartbeat sent */
+  KnlTime timeout;
+  KnlTime answered_at; /**< when the peer last answered, or the start */
+  KnlTime checked_at;  /**< when wr_heartbeat_check() last ran, or the start */
+  guint64 sequence;    /**< of the last heartbeat sent */
 } WrHeartbeat;
 
-void wr_heartbeat_start (WrHeartbeat *heartbeat, KnlTime now, KnlTime interval, KnlTime limit);
+void wr_heartbeat_start (WrHeartbeat *heartbeat, KnlTime now, KnlTime interval, KnlTime timeout);
 
 /** Call once per interval, then send heartbeat `sequence`. FALSE: the peer hasn't answered for
- * longer than `limit`. */
+ * longer than `timeout`. */
 gboolean wr_heartbeat_check (WrHeartbeat *heartbeat, KnlTime now);
 
 /** The peer answered heartbeat `sequence`; a number that was never sent is ignored. */
--- a/include/wire/link.h
+++ b/include/wire/link.h
@@ -16,7 +16,7 @@
 typedef struct WrLink WrLink;
 
 /** Maximum frame length in bytes; a longer frame closes the link. */
-#define WR_FRAME_LIMIT ((gsize)4 * 1024 * 1024)
+#define WR_MAX_FRAME_BYTES ((gsize)4 * 1024 * 1024)
 
 /** Version of the protocol; a peer with another version is refused. */
 #define WR_VERSION 1
--- a/include/wire/session.h
+++ b/include/wire/session.h
@@ -12,16 +12,16 @@
 #define WR_HEARTBEAT_INTERVAL (500 * KNL_MSEC)
 
 /** A link whose heartbeats aren't answered for longer than this is closed. */
-#define WR_SILENCE_LIMIT (3 * KNL_SEC)
+#define WR_HEARTBEAT_TIMEOUT (3 * KNL_SEC)
 
 /** Maximum time from the start of a link to the end of its handshake. */
-#define WR_HANDSHAKE_LIMIT (3 * KNL_SEC)
+#define WR_HANDSHAKE_TIMEOUT (3 * KNL_SEC)
 
 /** Maximum frame length, in bytes, until the peer has proved that it knows the secret. */
-#define WR_HANDSHAKE_FRAME_LIMIT 4096
+#define WR_MAX_HANDSHAKE_FRAME_BYTES 4096
 
 /** Maximum number of unsent bytes of one link. */
-#define WR_UNSENT_LIMIT (2 * WR_FRAME_LIMIT)
+#define WR_MAX_UNSENT_BYTES (2 * WR_MAX_FRAME_BYTES)
 
 typedef struct WrSession WrSession;
 typedef struct WrChannel WrChannel;
--- a/kernel/kernel.c
+++ b/kernel/kernel.c
@@ -197,10 +197,10 @@
 }
 
 void
-knl_span_end (KnlKernel *kernel, KnlTime begun, const char *name)
+knl_span_end (KnlKernel *kernel, KnlTime started_at, const char *name)
 {
   if (kernel->meter != NULL)
-    kernel->meter (name, knl_kernel_now (kernel) - begun, kernel->meter_data);
+    kernel->meter (name, knl_kernel_now (kernel) - started_at, kernel->meter_data);
 }
 
 void
@@ -214,10 +214,10 @@
 deliver_to (KnlKernel *kernel, KnlTask *task, KnlMessage *message)
 {
   const char *name = task->klass->name;
-  KnlTime begun = span_begin (kernel);
+  KnlTime started_at = span_begin (kernel);
 
   task->klass->receive (task, message);
-  knl_span_end (kernel, begun, name);
+  knl_span_end (kernel, started_at, name);
 }
 
 static gboolean
@@ -244,7 +244,7 @@
   KnlTimerFunc func;
   gpointer data;
   const char *name;
-  KnlTime begun;
+  KnlTime started_at;
 
   if (timer == NULL || timer->deadline > knl_kernel_now (kernel))
     return FALSE;
@@ -253,9 +253,9 @@
   name = timer->name;
   g_hash_table_remove (kernel->timer_by_id, &timer->id);
   g_tree_remove (kernel->timers, timer);
-  begun = span_begin (kernel);
+  started_at = span_begin (kernel);
   func (data);
-  knl_span_end (kernel, begun, name);
+  knl_span_end (kernel, started_at, name);
   return TRUE;
 }
 
@@ -265,16 +265,16 @@
 {
   Job *job = g_queue_pop_head (&kernel->jobs);
   const char *name;
-  KnlTime begun;
+  KnlTime started_at;
   gboolean more;
 
   if (job == NULL)
     return;
   name = job->name;
   kernel->job = job;
-  begun = span_begin (kernel);
+  started_at = span_begin (kernel);
   more = job->func (job->data);
-  knl_span_end (kernel, begun, name);
+  knl_span_end (kernel, started_at, name);
   kernel->job = NULL;
   if (more && job->id != 0)
     g_queue_push_tail (&kernel->jobs, job);
--- a/kernel/paused.c
+++ b/kernel/paused.c
@@ -5,7 +5,7 @@
   KnlRuntime base;
   KnlPausedClock *clock;
   KnlKernel *kernel;
-  KnlTime wake;
+  KnlTime wake_deadline;
   gboolean frozen;
 } PausedRuntime;
 
@@ -24,7 +24,7 @@
 static void
 paused_wake_at (KnlRuntime *runtime, KnlTime deadline)
 {
-  ((PausedRuntime *)runtime)->wake = deadline;
+  ((PausedRuntime *)runtime)->wake_deadline = deadline;
 }
 
 static void
@@ -65,7 +65,7 @@
 
   runtime->base.klass = &paused_class;
   runtime->clock = clock;
-  runtime->wake = KNL_NEVER;
+  runtime->wake_deadline = KNL_NEVER;
   g_ptr_array_add (clock->runtimes, runtime);
   return &runtime->base;
 }
@@ -77,31 +77,31 @@
 }
 
 static PausedRuntime *
-next_runtime (KnlPausedClock *clock)
+earliest_runtime (KnlPausedClock *clock)
 {
-  PausedRuntime *best = NULL;
+  PausedRuntime *earliest = NULL;
 
   for (guint i = 0; i < clock->runtimes->len; i++)
     {
       PausedRuntime *runtime = g_ptr_array_index (clock->runtimes, i);
 
-      if (runtime->frozen || runtime->kernel == NULL || runtime->wake == KNL_NEVER)
+      if (runtime->frozen || runtime->kernel == NULL || runtime->wake_deadline == KNL_NEVER)
         continue;
-      if (best == NULL || runtime->wake < best->wake)
-        best = runtime;
+      if (earliest == NULL || runtime->wake_deadline < earliest->wake_deadline)
+        earliest = runtime;
     }
-  return best;
+  return earliest;
 }
 
 static gboolean
-step (KnlPausedClock *clock, KnlTime limit)
+run_next_wake_up (KnlPausedClock *clock, KnlTime limit)
 {
-  PausedRuntime *runtime = next_runtime (clock);
+  PausedRuntime *runtime = earliest_runtime (clock);
 
-  if (runtime == NULL || runtime->wake > limit)
+  if (runtime == NULL || runtime->wake_deadline > limit)
     return FALSE;
-  clock->now = MAX (clock->now, runtime->wake);
-  runtime->wake = KNL_NEVER;
+  clock->now = MAX (clock->now, runtime->wake_deadline);
+  runtime->wake_deadline = KNL_NEVER;
   knl_kernel_run_due (runtime->kernel);
   return TRUE;
 }
@@ -111,7 +111,7 @@
 {
   KnlTime limit = clock->now + delta;
 
-  while (step (clock, limit))
+  while (run_next_wake_up (clock, limit))
     ;
   clock->now = limit;
 }
@@ -126,7 +126,7 @@
 
   while (!done (data))
     {
-      if (!step (clock, end))
+      if (!run_next_wake_up (clock, end))
         {
           clock->now = end;
           return done (data);
--- a/serve/peers_internal.h
+++ b/serve/peers_internal.h
@@ -116,7 +116,7 @@
   GPtrArray *forward_queue; /* GBytes: datagrams of other cells, to be forwarded */
   KnlTime forwarded_at;     /* 0: never */
   KnlTimerId forward_timer;
-  CmLogLimit unreadable; /* limits log lines about unreadable datagrams */
+  CmLogRateLimit unreadable; /* limits log lines about unreadable datagrams */
   KnlTimerId heartbeat_timer;
   guint n_heartbeats; /* heartbeats sent so far */
   KnlTimerId change_timer;
--- a/serve/peers_take.c
+++ b/serve/peers_take.c
@@ -358,7 +358,7 @@
 static void
 log_unreadable (SvPeers *self, gsize length)
 {
-  if (cm_log_limit (&self->unreadable, knl_kernel_now (self->kernel)))
+  if (cm_log_rate_limit_allows (&self->unreadable, knl_kernel_now (self->kernel)))
     cm_log (CM_LOG_WARNING, "datagram-unreadable", "i", "bytes", (gint64)length, "i", "so-far",
             self->unreadable.count);
 }
--- a/tests/fakes/deployment.c
+++ b/tests/fakes/deployment.c
@@ -1,11 +1,11 @@
 #include "tests/fakes/deployment_internal.h"
 
-#define SECRET            "secret"
-#define INSTANCES_LAG     (1 * KNL_SEC)
-#define WITHIN_ZONE       (200 * KNL_USEC)
-#define KEEP              (5 * KNL_SEC)
-#define MAX_FLAGS         40
-#define FIRST_INCARNATION 1000
+#define SECRET              "secret"
+#define INSTANCE_LIST_DELAY (1 * KNL_SEC)
+#define DELAY_WITHIN_ZONE   (200 * KNL_USEC)
+#define KEEP_DURATION       (5 * KNL_SEC)
+#define MAX_FLAGS           40
+#define FIRST_INCARNATION   1000
 
 static void
 start_entry (FkDaemon *daemon, const FkInstance *instance)
@@ -21,7 +21,7 @@
     .max_queued = 100000,
     .max_new_tokens = 100000,
     .max_limit = 3600 * KNL_SEC,
-    .keep = KEEP,
+    .entries_ttl = KEEP_DURATION,
   };
 
   daemon->uplink = en_uplink_new (daemon->kernel, daemon->transport, instance->link_address);
@@ -129,7 +129,7 @@
   FkDaemon *daemon = data;
 
   daemon->drained = TRUE;
-  knl_timer_start (daemon->deployment->outside, KNL_MSEC, on_drained_outside, daemon);
+  knl_timer_start (daemon->deployment->control_kernel, KNL_MSEC, on_drained_outside, daemon);
 }
 
 void
@@ -361,13 +361,13 @@
   deployment->options = *options;
   deployment->last_incarnation = FIRST_INCARNATION;
   deployment->clock = knl_paused_clock_new ();
-  deployment->outside =
+  deployment->control_kernel =
       knl_kernel_new (knl_paused_clock_runtime (deployment->clock), options->seed);
   deployment->store_kernel =
       knl_kernel_new (knl_paused_clock_runtime (deployment->clock), options->seed);
-  deployment->store = fk_store_new (deployment->store_kernel, INSTANCES_LAG);
+  deployment->store = fk_store_new (deployment->store_kernel, INSTANCE_LIST_DELAY);
   deployment->network = fk_network_new ();
-  fk_network_set_delay (deployment->network, WITHIN_ZONE,
+  fk_network_set_delay (deployment->network, DELAY_WITHIN_ZONE,
                         options->between_zones != 0 ? options->between_zones : KNL_MSEC);
   deployment->fleet = fk_fleet_new (deployment->clock);
   deployment->engines = g_ptr_array_new_with_free_func (g_free);
@@ -395,7 +395,7 @@
   fk_network_free (deployment->network);
   fk_store_free (deployment->store);
   knl_kernel_free (deployment->store_kernel);
-  knl_kernel_free (deployment->outside);
+  knl_kernel_free (deployment->control_kernel);
   knl_paused_clock_free (deployment->clock);
   g_ptr_array_unref (deployment->engines);
   g_ptr_array_unref (deployment->services);
--- a/tests/fakes/deployment.h
+++ b/tests/fakes/deployment.h
@@ -77,14 +77,14 @@
 typedef void (*FkOperatorFunc) (int status, const char *body, gpointer data);
 
 /** Sends an operator's request to a controller; if it is down, `done` gets status 0, no body. */
-void fk_deployment_operate (FkDeployment *deployment,
-                            guint instance,
-                            const char *method,
-                            const char *path,
-                            const char *query,
-                            const char *body,
-                            FkOperatorFunc done,
-                            gpointer data);
+void fk_deployment_operator_call (FkDeployment *deployment,
+                                  guint instance,
+                                  const char *method,
+                                  const char *path,
+                                  const char *query,
+                                  const char *body,
+                                  FkOperatorFunc done,
+                                  gpointer data);
 
 /**
  * Applies `changes` (a JSON list) through controller 0 and advances the clock
@@ -101,4 +101,4 @@
  * The changes (a JSON list, owned by the caller) for a configuration with model "m7", services
  * "letters" and "desk", and workspaces "w0" to "wN" with N = `workspaces` - 1.
  */
-char *fk_deployment_usual_changes (guint workspaces);
+char *fk_deployment_default_changes (guint workspaces);
--- a/tests/fakes/deployment_internal.h
+++ b/tests/fakes/deployment_internal.h
@@ -39,8 +39,8 @@
 {
   FkDeploymentOptions options;
   KnlPausedClock *clock;
-  KnlRuntime *outside_runtime;
-  KnlKernel *outside;
+  KnlRuntime *control_runtime;
+  KnlKernel *control_kernel;
   KnlKernel *store_kernel;
   FkStore *store;
   FkNetwork *network;
--- a/tests/fakes/deployment_operator.c
+++ b/tests/fakes/deployment_operator.c
@@ -1,7 +1,7 @@
 #include "controller/operators.h"
 #include "tests/fakes/deployment_internal.h"
 
-#define APPLY_LIMIT (30 * KNL_SEC)
+#define APPLY_TIMEOUT (30 * KNL_SEC)
 
 /* The task that receives the answer to one operator's request. */
 typedef struct
@@ -41,14 +41,14 @@
 };
 
 void
-fk_deployment_operate (FkDeployment *deployment,
-                       guint instance,
-                       const char *method,
-                       const char *path,
-                       const char *query,
-                       const char *body,
-                       FkOperatorFunc done,
-                       gpointer data)
+fk_deployment_operator_call (FkDeployment *deployment,
+                             guint instance,
+                             const char *method,
+                             const char *path,
+                             const char *query,
+                             const char *body,
+                             FkOperatorFunc done,
+                             gpointer data)
 {
   FkDaemon *daemon = &deployment->instances[instance].daemons[FK_CONTROLLER];
   OperatorTask *task;
@@ -129,14 +129,14 @@
                                            ++deployment->last_incarnation, changes);
   gboolean in_force;
 
-  knl_paused_clock_advance_until (deployment->clock, APPLY_LIMIT, is_ready, deployment);
-  fk_deployment_operate (deployment, 0, "POST", "/v1/apply", NULL, body, on_applied, &apply);
-  in_force = knl_paused_clock_advance_until (deployment->clock, APPLY_LIMIT, is_in_force, &apply);
+  knl_paused_clock_advance_until (deployment->clock, APPLY_TIMEOUT, is_ready, deployment);
+  fk_deployment_operator_call (deployment, 0, "POST", "/v1/apply", NULL, body, on_applied, &apply);
+  in_force = knl_paused_clock_advance_until (deployment->clock, APPLY_TIMEOUT, is_in_force, &apply);
   return in_force && apply.revision > 0;
 }
 
 char *
-fk_deployment_usual_changes (guint workspaces)
+fk_deployment_default_changes (guint workspaces)
 {
   GString *text =
       g_string_new ("[{\"op\":\"set\",\"kind\":\"model\",\"name\":\"m7\",\"fields\":{}},"
--- a/tests/fakes/memory_network.c
+++ b/tests/fakes/memory_network.c
@@ -43,7 +43,7 @@
   WrSession *session; /* NULL: not yet accepted, or closed */
   gboolean closed;
   GQueue chunks;
-  gsize waiting; /* bytes in `chunks` */
+  gsize queued_bytes; /* bytes in `chunks` */
   KnlTimerId timer;
 } End;
 
@@ -106,7 +106,7 @@
 }
 
 static void
-arm (End *end)
+schedule_delivery (End *end)
 {
   Chunk *chunk = g_queue_peek_head (&end->chunks);
   KnlKernel *kernel;
@@ -126,7 +126,7 @@
 
 /** Queues a chunk from node `from` to `end`. */
 static void
-push (End *end, Node *from, ChunkKind kind, const guint8 *bytes, gsize count)
+enqueue_chunk (End *end, Node *from, ChunkKind kind, const guint8 *bytes, gsize count)
 {
   Chunk *chunk;
 
@@ -137,9 +137,9 @@
   chunk->due =
       knl_kernel_now (from->host.kernel) + delay_between (end->pipe->network, from, end->node);
   chunk->bytes = g_bytes_new (bytes, count);
-  end->waiting += count;
+  end->queued_bytes += count;
   g_queue_push_tail (&end->chunks, chunk);
-  arm (end);
+  schedule_delivery (end);
 }
 
 static void
@@ -174,7 +174,7 @@
   if (end->closed)
     return;
   end_clear (end);
-  push (other, end->node, CHUNK_END, NULL, 0);
+  enqueue_chunk (other, end->node, CHUNK_END, NULL, 0);
   if (other->closed)
     g_ptr_array_remove_fast (pipe->network->pipes, pipe);
 }
@@ -185,13 +185,13 @@
   End *end = (End *)channel;
 
   end->pipe->network->sent += count;
-  push (other_end (end), end->node, CHUNK_BYTES, bytes, count);
+  enqueue_chunk (other_end (end), end->node, CHUNK_BYTES, bytes, count);
 }
 
 static gsize
 channel_unsent (WrChannel *channel)
 {
-  return other_end ((End *)channel)->waiting;
+  return other_end ((End *)channel)->queued_bytes;
 }
 
 static void
@@ -207,11 +207,11 @@
 };
 
 static void
-take_connection (End *end)
+accept_connection (End *end)
 {
   Listener *listener = end->pipe->listener;
-  End *caller = other_end (end);
-  const char *from = caller->node != NULL ? caller->node->host.identity->instance : "?";
+  End *connecting = other_end (end);
+  const char *from = connecting->node != NULL ? connecting->node->host.identity->instance : "?";
 
   if (listener == NULL)
     {
@@ -220,7 +220,7 @@
     }
   end->session =
       wr_session_accept (&end->node->host, &end->base, from, listener->accept, listener->data);
-  push (caller, end->node, CHUNK_CONNECTED, NULL, 0);
+  enqueue_chunk (connecting, end->node, CHUNK_CONNECTED, NULL, 0);
 }
 
 static void
@@ -236,11 +236,11 @@
     return;
   chunk = g_queue_pop_head (&end->chunks);
   bytes = g_bytes_get_data (chunk->bytes, &count);
-  end->waiting -= count;
-  arm (end);
+  end->queued_bytes -= count;
+  schedule_delivery (end);
   /* The session may close this end and free the pipe: `end` must not be used after the call. */
   if (chunk->kind == CHUNK_CONNECT)
-    take_connection (end);
+    accept_connection (end);
   else if (chunk->kind == CHUNK_CONNECTED)
     wr_session_connected (end->session);
   else if (chunk->kind == CHUNK_BYTES)
@@ -289,7 +289,7 @@
 }
 
 static gboolean
-refuses (FkNetwork *network, const Listener *listener)
+is_refused (FkNetwork *network, const Listener *listener)
 {
   return listener == NULL
          || g_hash_table_contains (network->refusing, listener->node->host.identity->instance);
@@ -305,7 +305,7 @@
   Listener *listener = find_listener (node->network, address);
   Pipe *pipe;
 
-  if (refuses (node->network, listener))
+  if (is_refused (node->network, listener))
     return (WrLink *)wr_session_connect (&node->host, NULL, address, events, data);
   pipe = g_new0 (Pipe, 1);
   pipe->network = node->network;
@@ -319,7 +319,7 @@
   g_ptr_array_add (node->network->pipes, pipe);
   pipe->ends[0].session =
       wr_session_connect (&node->host, &pipe->ends[0].base, address, events, data);
-  push (&pipe->ends[1], node, CHUNK_CONNECT, NULL, 0);
+  enqueue_chunk (&pipe->ends[1], node, CHUNK_CONNECT, NULL, 0);
   return (WrLink *)pipe->ends[0].session;
 }
 
@@ -342,7 +342,7 @@
 }
 
 static void
-forget_node (Node *node)
+detach_node (Node *node)
 {
   for (guint i = 0; i < node->network->pipes->len; i++)
     {
@@ -364,7 +364,7 @@
 
   wr_session_host_clear (&node->host);
   close_ends_of (node);
-  forget_node (node);
+  detach_node (node);
   for (guint i = listeners->len; i > 0; i--)
     {
       if (((Listener *)g_ptr_array_index (listeners, i - 1))->node == node)
@@ -440,8 +440,8 @@
     {
       Pipe *pipe = g_ptr_array_index (network->pipes, i);
 
-      arm (&pipe->ends[0]);
-      arm (&pipe->ends[1]);
+      schedule_delivery (&pipe->ends[0]);
+      schedule_delivery (&pipe->ends[1]);
     }
 }
 
@@ -453,7 +453,7 @@
 }
 
 static gboolean
-end_is_of (const End *end, const char *instance)
+end_belongs_to (const End *end, const char *instance)
 {
   return end->node != NULL && g_strcmp0 (end->node->host.identity->instance, instance) == 0;
 }
@@ -465,8 +465,8 @@
     {
       Pipe *pipe = g_ptr_array_index (network->pipes, i);
 
-      if ((end_is_of (&pipe->ends[0], a) && end_is_of (&pipe->ends[1], b))
-          || (end_is_of (&pipe->ends[0], b) && end_is_of (&pipe->ends[1], a)))
+      if ((end_belongs_to (&pipe->ends[0], a) && end_belongs_to (&pipe->ends[1], b))
+          || (end_belongs_to (&pipe->ends[0], b) && end_belongs_to (&pipe->ends[1], a)))
         pipe->frozen = TRUE;
     }
 }
@@ -481,7 +481,7 @@
 }
 
 guint64
-fk_network_sent (const FkNetwork *network)
+fk_network_bytes_sent (const FkNetwork *network)
 {
   return network->sent;
 }
--- a/tests/fakes/memory_network.h
+++ b/tests/fakes/memory_network.h
@@ -39,4 +39,4 @@
 void fk_network_refuse (FkNetwork *network, const char *instance, gboolean refuse);
 
 /** Number of bytes sent by all processes. */
-guint64 fk_network_sent (const FkNetwork *network);
+guint64 fk_network_bytes_sent (const FkNetwork *network);
--- a/tests/faults/command_line_test.c
+++ b/tests/faults/command_line_test.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-#define ARGUMENTS_LIMIT 12
+#define MAX_ARGUMENTS 12
 
 /* A proxy between the command line and one controller, which can drop answers. */
 typedef struct
@@ -39,26 +39,26 @@
 
 /* Starts alderturnctl with JSON output; `flags` is NULL-terminated, or NULL. */
 static HnProcess *
-control_start (HnHarness *harness,
-               const char *controllers,
-               const char *const *flags,
-               const char *command)
+ctl_start (HnHarness *harness,
+           const char *controllers,
+           const char *const *flags,
+           const char *command)
 {
-  const char *arguments[ARGUMENTS_LIMIT] = { "--controller-address", controllers,
-                                             "--operator-token", HN_OPERATOR, "--json" };
+  const char *arguments[MAX_ARGUMENTS] = { "--controller-address", controllers, "--operator-token",
+                                           HN_OPERATOR, "--json" };
   guint count = 5;
 
   while (flags != NULL && *flags != NULL)
     arguments[count++] = *flags++;
   arguments[count++] = command;
-  g_assert (count < ARGUMENTS_LIMIT);
+  g_assert (count < MAX_ARGUMENTS);
   return hn_start (harness, "alderturnctl", "ctl/alderturnctl", arguments);
 }
 
 /* Waits until the process ends. Returns the exit status, and its JSON output in `*answer`, to be
  * freed with json_decref(). */
 static int
-control_await (HnProcess *process, json_t **answer)
+ctl_await (HnProcess *process, json_t **answer)
 {
   int status = hn_await_exit (process, HN_LIMIT);
 
@@ -72,18 +72,17 @@
 /* Runs one command and checks its exit status against `wanted`. Returns the number in `member` of
  * its JSON output, or 0. */
 static json_int_t
-control_number (HnHarness *harness,
-                const char *controllers,
-                const char *const *flags,
-                const char *command,
-                int wanted,
-                const char *member)
+ctl_run_for_number (HnHarness *harness,
+                    const char *controllers,
+                    const char *const *flags,
+                    const char *command,
+                    int wanted,
+                    const char *member)
 {
   json_t *answer;
   json_int_t number;
 
-  CU_ASSERT_EQUAL (control_await (control_start (harness, controllers, flags, command), &answer),
-                   wanted);
+  CU_ASSERT_EQUAL (ctl_await (ctl_start (harness, controllers, flags, command), &answer), wanted);
   number = json_integer_value (json_object_get (answer, member));
   json_decref (answer);
   return number;
@@ -97,7 +96,7 @@
   json_t *answer;
   size_t count;
 
-  CU_ASSERT_EQUAL (control_await (control_start (harness, controllers, NULL, command), &answer), 0);
+  CU_ASSERT_EQUAL (ctl_await (ctl_start (harness, controllers, NULL, command), &answer), 0);
   count = json_array_size (json_object_get (answer, "rows"));
   json_decref (answer);
   g_free (command);
@@ -111,8 +110,8 @@
   json_t *answer;
   json_int_t revision;
 
-  CU_ASSERT_EQUAL (
-      control_await (control_start (harness, controllers, NULL, "show workspaces"), &answer), 0);
+  CU_ASSERT_EQUAL (ctl_await (ctl_start (harness, controllers, NULL, "show workspaces"), &answer),
+                   0);
   revision = json_integer_value (
       json_object_get (json_array_get (json_object_get (answer, "rows"), 0), "revision"));
   json_decref (answer);
@@ -126,7 +125,7 @@
  * Cause: a write that doesn't check the revision that it is based on.
  */
 static void
-test_of_racing_operators_one_wins (void)
+test_only_one_racing_operator_wins (void)
 {
   static const char *const flags[][2] = { { "--by=ann", NULL },
                                           { "--by=ben", NULL },
@@ -144,12 +143,12 @@
       char *command =
           g_strdup_printf ("set workspace lantern weight = %u if revision %d", i + 2, (int)before);
 
-      operators[i] = control_start (harness, cluster->instances[i].operators, flags[i], command);
+      operators[i] = ctl_start (harness, cluster->instances[i].operators, flags[i], command);
       g_free (command);
     }
   for (guint i = 0; i < G_N_ELEMENTS (flags); i++)
     {
-      int status = control_await (operators[i], &answers[i]);
+      int status = ctl_await (operators[i], &answers[i]);
 
       CU_ASSERT_TRUE (status == 0 || status == 3);
       if (status != 0)
@@ -185,15 +184,15 @@
   const char *first = cluster->instances[0].operators;
   const char *second = cluster->instances[1].operators;
   json_int_t revision =
-      control_number (harness, first, flags, "set workspace lantern weight = 5", 0, "revision");
+      ctl_run_for_number (harness, first, flags, "set workspace lantern weight = 5", 0, "revision");
   json_int_t later =
-      control_number (harness, first, NULL, "set workspace lantern weight = 6", 0, "revision");
+      ctl_run_for_number (harness, first, NULL, "set workspace lantern weight = 6", 0, "revision");
 
   CU_ASSERT_EQUAL (later, revision + 1);
-  CU_ASSERT_EQUAL (
-      control_number (harness, second, flags, "set workspace lantern weight = 5", 0, "revision"),
-      revision);
-  control_number (harness, second, flags, "set workspace lantern weight = 7", 2, "exit");
+  CU_ASSERT_EQUAL (ctl_run_for_number (harness, second, flags, "set workspace lantern weight = 5",
+                                       0, "revision"),
+                   revision);
+  ctl_run_for_number (harness, second, flags, "set workspace lantern weight = 7", 2, "exit");
   CU_ASSERT_EQUAL (workspace_revision (harness, first), later);
   CU_ASSERT_EQUAL (history_count (harness, first, "night-job"), 1);
   CU_ASSERT_TRUE (hn_cluster_free (cluster));
@@ -219,16 +218,17 @@
   json_int_t revision;
 
   post_fault (harness, cluster->platform.address, "{\"mode\":\"lose-answers\",\"count\":2}");
-  control_number (harness, other, table_flags, "set workspace lantern weight = 2", 0, "revision");
+  ctl_run_for_number (harness, other, table_flags, "set workspace lantern weight = 2", 0,
+                      "revision");
   CU_ASSERT_EQUAL (history_count (harness, other, "table"), 1);
 
   post_fault (harness, proxy.control,
               "{\"mode\":\"freeze\",\"new\":true,\"direction\":\"from-target\"}");
-  control_number (harness, proxy.address, flags, "set workspace lantern weight = 3", 6, "exit");
+  ctl_run_for_number (harness, proxy.address, flags, "set workspace lantern weight = 3", 6, "exit");
   CU_ASSERT_EQUAL (history_count (harness, other, "lost"), 1);
   revision = workspace_revision (harness, other);
   CU_ASSERT_EQUAL (
-      control_number (harness, both, flags, "set workspace lantern weight = 3", 0, "revision"),
+      ctl_run_for_number (harness, both, flags, "set workspace lantern weight = 3", 0, "revision"),
       revision);
   CU_ASSERT_EQUAL (history_count (harness, other, "lost"), 1);
   g_free (both);
@@ -236,7 +236,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "of racing operators one wins", test_of_racing_operators_one_wins },
+  { "of racing operators one wins", test_only_one_racing_operator_wins },
   { "one operation is applied once", test_one_operation_is_applied_once },
   { "lost answers", test_lost_answers },
 };
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -73,7 +73,8 @@
       || caller->entry_incarnation != soak->incarnations[caller->entry]
       || fk_deployment_core (soak->deployment, caller->entry) == NULL)
     return;
-  en_core_caller_gone (fk_deployment_core (soak->deployment, caller->entry), caller->number);
+  en_core_caller_disconnected (fk_deployment_core (soak->deployment, caller->entry),
+                               caller->number);
   caller->entry_incarnation = G_MAXUINT64;
 }
 
@@ -216,8 +217,8 @@
                           "\"name\":\"w%d\",\"fields\":{\"weight\":%d}}]}",
                           ++soak->next, g_rand_int_range (soak->rand, 0, WORKSPACES),
                           g_rand_int_range (soak->rand, 1, 9));
-  fk_deployment_operate (soak->deployment, (guint)g_rand_int_range (soak->rand, 0, INSTANCES),
-                         "POST", "/v1/apply", NULL, body, ignore_answer, NULL);
+  fk_deployment_operator_call (soak->deployment, (guint)g_rand_int_range (soak->rand, 0, INSTANCES),
+                               "POST", "/v1/apply", NULL, body, ignore_answer, NULL);
   g_free (body);
 }
 
@@ -256,7 +257,7 @@
                                      .services = SERVICES,
                                      .seed = options->seed,
                                      .engine = sd_engine_defaults };
-  g_autofree char *changes = fk_deployment_usual_changes (WORKSPACES);
+  g_autofree char *changes = fk_deployment_default_changes (WORKSPACES);
 
   deployment.engine.any_model = TRUE;
   soak.rand = g_rand_new_with_seed (options->seed);
--- a/tests/unit/co_config_store_test.c
+++ b/tests/unit/co_config_store_test.c
@@ -283,7 +283,7 @@
   run (&fixture, 60 * KNL_SEC);
   CU_ASSERT_TRUE (co_config_store_ready (fixture.stores[1]));
   CU_ASSERT_FALSE (co_config_store_ready (fixture.stores[2]));
-  co_config_store_heard (fixture.stores[2], 5);
+  co_config_store_note_revision (fixture.stores[2], 5);
   co_config_store_synced_by_peer (fixture.stores[2]);
   CU_ASSERT_FALSE (co_config_store_ready (fixture.stores[2]));
   push = co_config_push_since (fixture.configs[1], 0);
@@ -299,58 +299,59 @@
   guint store;
   guint number;
   Outcome outcome;
-} Try;
+} Attempt;
 
 static void
 random_fault (Fixture *fixture, GRand *rand)
 {
   static const SdTableFault faults[] = { SD_TABLE_NORMAL, SD_TABLE_NORMAL, SD_TABLE_LOSE_ANSWERS,
                                          SD_TABLE_SLOW, SD_TABLE_OUTAGE };
-  static const FkPlatformFault own[] = { FK_PLATFORM_NORMAL, FK_PLATFORM_NORMAL,
-                                         FK_PLATFORM_UNREACHABLE, FK_PLATFORM_SILENT,
-                                         FK_PLATFORM_DEAF };
+  static const FkPlatformFault platform_faults[] = { FK_PLATFORM_NORMAL, FK_PLATFORM_NORMAL,
+                                                     FK_PLATFORM_UNREACHABLE, FK_PLATFORM_SILENT,
+                                                     FK_PLATFORM_DEAF };
   guint i = (guint)g_rand_int_range (rand, 0, STORES);
 
   sd_table_set_fault (fk_store_table (fixture->daemons.store),
                       faults[g_rand_int_range (rand, 0, 5)],
                       g_rand_int_range (rand, 1, 3000) * KNL_MSEC, 2);
-  fk_memory_platform_set_fault (fixture->daemons.platforms[i], own[g_rand_int_range (rand, 0, 5)]);
+  fk_memory_platform_set_fault (fixture->daemons.platforms[i],
+                                platform_faults[g_rand_int_range (rand, 0, 5)]);
   knl_paused_runtime_set_frozen (fixture->daemons.runtimes[i], g_rand_int_range (rand, 0, 4) == 0);
 }
 
 /* Builds a peer's push from a random revision; the next call applies it, out of date. */
 static void
-random_push (Fixture *fixture, GRand *rand, Alderturn__ConfigPush **late)
+random_push (Fixture *fixture, GRand *rand, Alderturn__ConfigPush **delayed)
 {
   CoConfig *to = fixture->configs[g_rand_int_range (rand, 0, STORES)];
   const CoConfig *from = fixture->configs[g_rand_int_range (rand, 0, STORES)];
 
-  if (*late != NULL)
+  if (*delayed != NULL)
     {
-      co_config_apply (to, *late);
-      alderturn__config_push__free_unpacked (*late, NULL);
+      co_config_apply (to, *delayed);
+      alderturn__config_push__free_unpacked (*delayed, NULL);
     }
-  *late = co_config_push_since (
+  *delayed = co_config_push_since (
       from, (guint64)g_rand_int_range (rand, 0, (gint32)*co_config_revision (from) + 1));
 }
 
 /* Each apply sets its own object, so that its effect can be checked at the end. */
 static void
-check_tries (Fixture *fixture, const GPtrArray *tries)
+check_attempts (Fixture *fixture, const GPtrArray *attempts)
 {
   guint64 last = 0;
   guint done = 0;
 
-  for (guint t = 0; t < tries->len; t++)
+  for (guint t = 0; t < attempts->len; t++)
     {
-      const Try *one = g_ptr_array_index (tries, t);
-      g_autofree char *name = g_strdup_printf ("m%u", one->number);
+      const Attempt *attempt = g_ptr_array_index (attempts, t);
+      g_autofree char *name = g_strdup_printf ("m%u", attempt->number);
       const CoObject *object = co_config_find (fixture->configs[0], "model", name);
 
-      CU_ASSERT_EQUAL (one->outcome.calls, 1);
-      if (one->outcome.status == CO_APPLY_DONE)
-        CU_ASSERT_TRUE (object != NULL && object->revision == one->outcome.revision);
-      if (one->outcome.status == CO_APPLY_NOT_RUN)
+      CU_ASSERT_EQUAL (attempt->outcome.calls, 1);
+      if (attempt->outcome.status == CO_APPLY_DONE)
+        CU_ASSERT_TRUE (object != NULL && object->revision == attempt->outcome.revision);
+      if (attempt->outcome.status == CO_APPLY_NOT_RUN)
         CU_ASSERT_PTR_NULL (object);
       done += object != NULL ? 1 : 0;
     }
@@ -375,29 +376,29 @@
     {
       g_auto (Fixture) fixture = fixture_new ();
       g_autoptr (GRand) rand = g_rand_new_with_seed (seed);
-      g_autoptr (GPtrArray) tries = g_ptr_array_new_with_free_func (g_free);
-      Alderturn__ConfigPush *late = NULL;
+      g_autoptr (GPtrArray) attempts = g_ptr_array_new_with_free_func (g_free);
+      Alderturn__ConfigPush *delayed = NULL;
 
       for (KnlTime t = 0; t < 1800 * KNL_SEC; t += 500 * KNL_MSEC)
         {
-          Try *one;
+          Attempt *attempt;
           char *text;
           char *operation;
 
           if (g_rand_int_range (rand, 0, 20) == 0)
             random_fault (&fixture, rand);
-          random_push (&fixture, rand, &late);
+          random_push (&fixture, rand, &delayed);
           run (&fixture, 500 * KNL_MSEC);
           if (g_rand_int_range (rand, 0, 8) != 0)
             continue;
-          one = g_new0 (Try, 1);
-          one->number = tries->len;
-          one->store = (guint)g_rand_int_range (rand, 0, STORES);
-          operation = g_strdup_printf ("o%u", one->number);
+          attempt = g_new0 (Attempt, 1);
+          attempt->number = attempts->len;
+          attempt->store = (guint)g_rand_int_range (rand, 0, STORES);
+          operation = g_strdup_printf ("o%u", attempt->number);
           text = g_strdup_printf ("[{\"op\":\"set\",\"kind\":\"model\",\"name\":\"m%u\"}]",
-                                  one->number);
-          g_ptr_array_add (tries, one);
-          apply (&fixture, one->store, operation, text, &one->outcome);
+                                  attempt->number);
+          g_ptr_array_add (attempts, attempt);
+          apply (&fixture, attempt->store, operation, text, &attempt->outcome);
           g_free (operation);
           g_free (text);
         }
@@ -408,8 +409,8 @@
         }
       sd_table_set_fault (fk_store_table (fixture.daemons.store), SD_TABLE_NORMAL, 0, 0);
       run (&fixture, 30 * KNL_SEC);
-      check_tries (&fixture, tries);
-      alderturn__config_push__free_unpacked (late, NULL);
+      check_attempts (&fixture, attempts);
+      alderturn__config_push__free_unpacked (delayed, NULL);
     }
 }
 
--- a/tests/unit/co_credit_test.c
+++ b/tests/unit/co_credit_test.c
@@ -19,9 +19,9 @@
   KnlTime expires;
   guint64 used;
   /* The answer in transit: */
-  guint64 coming;
-  KnlTime sent;
-  KnlTime arrives; /* 0: none */
+  guint64 delayed_tokens;
+  KnlTime sent_at;
+  KnlTime arrives_at; /* 0: none */
 } Entry;
 
 typedef struct
@@ -73,7 +73,11 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (Fixture, fixture_free)
 
 static guint64
-ask_whole (Fixture *fixture, const char *entry, guint64 used, guint64 wanted, guint64 largest)
+request_grant_with_largest (Fixture *fixture,
+                            const char *entry,
+                            guint64 used,
+                            guint64 wanted,
+                            guint64 largest)
 {
   Alderturn__CreditWant want = ALDERTURN__CREDIT_WANT__INIT;
   Alderturn__CreditGrant grant = ALDERTURN__CREDIT_GRANT__INIT;
@@ -87,9 +91,9 @@
 }
 
 static guint64
-ask (Fixture *fixture, const char *entry, guint64 used, guint64 wanted)
+request_grant (Fixture *fixture, const char *entry, guint64 used, guint64 wanted)
 {
-  return ask_whole (fixture, entry, used, wanted, 0);
+  return request_grant_with_largest (fixture, entry, used, wanted, 0);
 }
 
 static void
@@ -119,7 +123,8 @@
         {
           for (guint i = 0; i < ENTRIES; i++)
             {
-              guint64 granted = ask (fixture, fixture->entries[i].name, 0, rows[r].wants[i]);
+              guint64 granted =
+                  request_grant (fixture, fixture->entries[i].name, 0, rows[r].wants[i]);
 
               if (round == 11)
                 CU_ASSERT_EQUAL (granted, rows[r].grants[i]);
@@ -131,7 +136,7 @@
 
 /* Tokens that all entries together can have in use now. */
 static guint64
-held (const Fixture *fixture)
+tokens_in_use (const Fixture *fixture)
 {
   guint64 sum = 0;
 
@@ -150,22 +155,22 @@
 {
   KnlTime now = knl_kernel_now (fixture->kernel);
 
-  if (entry->arrives != 0 && now >= entry->arrives)
+  if (entry->arrives_at != 0 && now >= entry->arrives_at)
     {
-      entry->arrives = 0;
-      entry->granted = entry->coming;
-      entry->expires = entry->sent + TTL;
+      entry->arrives_at = 0;
+      entry->granted = entry->delayed_tokens;
+      entry->expires = entry->sent_at + TTL;
     }
   if (now < entry->expires && g_rand_int_range (rand, 0, 4) == 0)
     entry->used = (guint64)g_rand_int_range (rand, 0, (gint32)entry->granted + 1);
-  if (entry->arrives != 0 || g_rand_int_range (rand, 0, 3) != 0)
+  if (entry->arrives_at != 0 || g_rand_int_range (rand, 0, 3) != 0)
     return;
-  entry->sent = now;
-  entry->coming =
-      ask (fixture, entry->name, entry->used, (guint64)g_rand_int_range (rand, 0, 3 * CAPACITY));
+  entry->sent_at = now;
+  entry->delayed_tokens = request_grant (fixture, entry->name, entry->used,
+                                         (guint64)g_rand_int_range (rand, 0, 3 * CAPACITY));
   /* One in five answers is lost. */
-  if (entry->coming > 0 && g_rand_int_range (rand, 0, 5) > 0)
-    entry->arrives = now + g_rand_int_range (rand, 1, 300) * KNL_MSEC;
+  if (entry->delayed_tokens > 0 && g_rand_int_range (rand, 0, 5) > 0)
+    entry->arrives_at = now + g_rand_int_range (rand, 1, 300) * KNL_MSEC;
 }
 
 static void
@@ -199,7 +204,7 @@
     {
       g_autoptr (Fixture) fixture = fixture_new (0.1);
       g_autoptr (GRand) rand = g_rand_new_with_seed (seed);
-      guint64 most = 0;
+      guint64 peak = 0;
 
       for (guint i = 0; i < 36000; i++)
         {
@@ -208,19 +213,19 @@
               co_credit_free (fixture->credit);
               fixture->credit = co_credit_new (&fixture->options,
                                                knl_kernel_now (fixture->kernel)
-                                                   + co_credit_grants_last (&fixture->options));
+                                                   + co_credit_grant_lifetime (&fixture->options));
               report_running (fixture);
             }
           if (i % 10 == 0)
             report_running (fixture);
           for (guint e = 0; e < ENTRIES; e++)
             step_entry (fixture, &fixture->entries[e], rand);
-          if (held (fixture) > CAPACITY)
+          if (tokens_in_use (fixture) > CAPACITY)
             CU_FAIL ("more is held than the engine has");
-          most = MAX (most, held (fixture));
+          peak = MAX (peak, tokens_in_use (fixture));
           knl_paused_clock_advance (fixture->clock, 50 * KNL_MSEC);
         }
-      CU_ASSERT_TRUE (most > CAPACITY / 2);
+      CU_ASSERT_TRUE (peak > CAPACITY / 2);
     }
 }
 
@@ -237,10 +242,10 @@
   fixture->entries[0].used = 9000;
   knl_paused_clock_advance (fixture->clock, 2 * TTL);
   report_running (fixture);
-  CU_ASSERT_EQUAL (ask (fixture, "e1", 0, CAPACITY), 1000);
+  CU_ASSERT_EQUAL (request_grant (fixture, "e1", 0, CAPACITY), 1000);
   fixture->entries[0].used = 0;
   report_running (fixture);
-  CU_ASSERT_EQUAL (ask (fixture, "e1", 0, CAPACITY), CAPACITY);
+  CU_ASSERT_EQUAL (request_grant (fixture, "e1", 0, CAPACITY), CAPACITY);
 }
 
 static CoEntryState
@@ -248,7 +253,8 @@
 {
   if (strcmp (entry, "e9") == 0)
     return CO_ENTRY_REPLACED;
-  return strcmp (entry, "e7") == 0 || strcmp (entry, "e1") == 0 ? CO_ENTRY_MISSING : CO_ENTRY_HERE;
+  return strcmp (entry, "e7") == 0 || strcmp (entry, "e1") == 0 ? CO_ENTRY_MISSING
+                                                                : CO_ENTRY_PRESENT;
 }
 
 /*
@@ -281,7 +287,7 @@
           GPtrArray *found;
 
           report (fixture, &running, 1);
-          ask (fixture, "e1", rows[r].claimed, 0);
+          request_grant (fixture, "e1", rows[r].claimed, 0);
           found = co_credit_leaks (fixture->credit, state_of, NULL);
           if (found->len > 0 && first == 0)
             first = t;
@@ -319,9 +325,10 @@
       for (guint i = 0; i < ENTRIES; i++)
         {
           guint64 largest = served[i] ? 0 : LARGE;
-          guint64 granted = ask_whole (fixture, fixture->entries[i].name, 0, largest, largest);
+          guint64 granted =
+              request_grant_with_largest (fixture, fixture->entries[i].name, 0, largest, largest);
 
-          CU_ASSERT (co_credit_given (fixture->credit) <= CAPACITY);
+          CU_ASSERT (co_credit_committed (fixture->credit) <= CAPACITY);
           if (served[i] || granted < LARGE)
             continue;
           served[i] = TRUE;
--- a/tests/unit/co_housekeeping_test.c
+++ b/tests/unit/co_housekeeping_test.c
@@ -21,7 +21,7 @@
 } Fixture;
 
 static gboolean
-nobody_is_gone (const char *attempt, gpointer data)
+never_gone (const char *attempt, gpointer data)
 {
   return FALSE;
 }
@@ -43,7 +43,7 @@
                          .finish_limit = KNL_SEC,
                          .attempt_limit = KNL_NEVER,
                          .cache_limit = 1,
-                         .attempt_gone = nobody_is_gone };
+                         .attempt_gone = never_gone };
   CoIdemSweepOptions sweep = { .epoch_time = EPOCH, .keep = 48, .page_pause = KNL_SEC };
 
   daemons_init (&fixture->daemons, 1, 1);
@@ -102,7 +102,7 @@
   CoConfigStoreOptions options = { .poll_interval = KNL_SEC,
                                    .idle_interval = KNL_SEC,
                                    .apply_limit = 5 * KNL_SEC };
-  CoConfigStore *late;
+  CoConfigStore *replica_store;
 
   options.kernel = fixture->daemons.kernels[0];
   options.platform = fixture->daemons.platforms[0];
@@ -130,12 +130,12 @@
                    count_rows (fixture, "config/change/") / 3);
   CU_ASSERT_EQUAL (count_rows (fixture, "config/object/"),
                    1 + count_rows (fixture, "config/change/") / 3);
-  late = co_config_store_new (&options);
+  replica_store = co_config_store_new (&options);
   knl_paused_clock_advance (fixture->daemons.clock, KNL_SEC);
   CU_ASSERT_EQUAL (*co_config_revision (options.replica), 180);
   CU_ASSERT_STRING_EQUAL (
       co_object_string (co_config_find (options.replica, "model", "a"), "version"), "59");
-  co_config_store_free (late);
+  co_config_store_free (replica_store);
   co_config_free (options.replica);
 }
 
--- a/tests/unit/co_idem_test.c
+++ b/tests/unit/co_idem_test.c
@@ -26,7 +26,7 @@
   guint32 status;
   char body[16];
   gboolean durable;
-} Told;
+} Result;
 
 static const char *const names[HOLDERS] = { "c1", "c2" };
 
@@ -102,21 +102,21 @@
 static void
 on_begun (const Alderturn__IdemReply *reply, gpointer data)
 {
-  Told *told = data;
+  Result *result = data;
 
-  told->answers++;
-  told->verdict = reply->verdict;
-  told->status = reply->status;
-  memset (told->body, 0, sizeof (told->body));
+  result->answers++;
+  result->verdict = reply->verdict;
+  result->status = reply->status;
+  memset (result->body, 0, sizeof (result->body));
   if (reply->body.len > 0)
-    memcpy (told->body, reply->body.data, MIN (reply->body.len, sizeof (told->body) - 1));
+    memcpy (result->body, reply->body.data, MIN (reply->body.len, sizeof (result->body) - 1));
 }
 
 static void
 on_finished (gboolean durable, gpointer data)
 {
-  ((Told *)data)->answers++;
-  ((Told *)data)->durable = durable;
+  ((Result *)data)->answers++;
+  ((Result *)data)->durable = durable;
 }
 
 static void
@@ -125,7 +125,7 @@
           const char *key,
           const char *attempt,
           guint64 digest,
-          Told *told)
+          Result *result)
 {
   Alderturn__IdemBegin begin = ALDERTURN__IDEM_BEGIN__INIT;
 
@@ -133,8 +133,8 @@
   begin.key = (char *)key;
   begin.attempt = (char *)attempt;
   begin.digest = digest;
-  *told = (Told){ 0 };
-  co_idem_begin (fixture->idems[i], &begin, on_begun, told);
+  *result = (Result){ 0 };
+  co_idem_begin (fixture->idems[i], &begin, on_begun, result);
 }
 
 static void
@@ -143,7 +143,7 @@
            const char *key,
            const char *attempt,
            Alderturn__IdemState state,
-           Told *told)
+           Result *result)
 {
   Alderturn__IdemFinish finish = ALDERTURN__IDEM_FINISH__INIT;
 
@@ -154,8 +154,8 @@
   finish.status = 200;
   finish.body.data = (guint8 *)"answer";
   finish.body.len = 6;
-  *told = (Told){ 0 };
-  co_idem_finish (fixture->idems[i], &finish, on_finished, told);
+  *result = (Result){ 0 };
+  co_idem_finish (fixture->idems[i], &finish, on_finished, result);
 }
 
 #define STATE(name)   ALDERTURN__IDEM_STATE__IDEM_STATE_##name
@@ -183,7 +183,7 @@
     { "b", STATE (UNKNOWN), 0, 0, FALSE },  { "c", 0, 2, VERDICT (DONE), TRUE },
   };
   g_autoptr (Fixture) fixture = fixture_new (1);
-  Told told;
+  Result result;
 
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
     {
@@ -191,16 +191,16 @@
 
       fixture->gone = rows[i].gone;
       if (rows[i].finish != 0)
-        finish_at (fixture, holder, "k", rows[i].attempt, rows[i].finish, &told);
+        finish_at (fixture, holder, "k", rows[i].attempt, rows[i].finish, &result);
       else
-        begin_at (fixture, holder, "k", rows[i].attempt, rows[i].digest, &told);
+        begin_at (fixture, holder, "k", rows[i].attempt, rows[i].digest, &result);
       run (fixture, 50 * KNL_MSEC);
-      CU_ASSERT_EQUAL (told.answers, 1);
-      CU_ASSERT_EQUAL (told.verdict, rows[i].verdict);
-      CU_ASSERT_EQUAL (told.durable, rows[i].finish != 0);
+      CU_ASSERT_EQUAL (result.answers, 1);
+      CU_ASSERT_EQUAL (result.verdict, rows[i].verdict);
+      CU_ASSERT_EQUAL (result.durable, rows[i].finish != 0);
     }
-  CU_ASSERT_EQUAL (told.status, 200);
-  CU_ASSERT_STRING_EQUAL (told.body, "answer");
+  CU_ASSERT_EQUAL (result.status, 200);
+  CU_ASSERT_STRING_EQUAL (result.body, "answer");
 }
 
 /*
@@ -214,8 +214,8 @@
   for (KnlTime pause_after = 0; pause_after <= 6 * KNL_MSEC; pause_after += KNL_MSEC)
     {
       g_autoptr (Fixture) fixture = fixture_new (2);
-      Told first;
-      Told second;
+      Result first;
+      Result second;
       guint holder;
 
       holder = holder_of (fixture, "k");
@@ -244,20 +244,20 @@
 test_a_late_write_of_a_former_holder_has_no_effect (void)
 {
   g_autoptr (Fixture) fixture = fixture_new (5);
-  Told told;
+  Result result;
   guint holder;
 
   holder = holder_of (fixture, "k");
-  begin_at (fixture, holder, "k", "a", 1, &told);
+  begin_at (fixture, holder, "k", "a", 1, &result);
   run (fixture, 2 * KNL_MSEC);
   sd_table_set_fault (fk_store_table (fixture->daemons.store), SD_TABLE_SLOW, 20 * KNL_SEC, 0);
   run (fixture, 3 * KNL_MSEC);
   sd_table_set_fault (fk_store_table (fixture->daemons.store), SD_TABLE_NORMAL, 0, 0);
   knl_paused_runtime_set_frozen (fixture->daemons.runtimes[holder], TRUE);
   run (fixture, 30 * KNL_SEC);
-  begin_at (fixture, 1 - holder, "k", "b", 1, &told);
+  begin_at (fixture, 1 - holder, "k", "b", 1, &result);
   run (fixture, KNL_SEC);
-  CU_ASSERT_EQUAL (told.verdict, VERDICT (RUN));
+  CU_ASSERT_EQUAL (result.verdict, VERDICT (RUN));
 }
 
 /*
@@ -269,47 +269,47 @@
 test_lost_answers_and_outages (void)
 {
   g_autoptr (Fixture) fixture = fixture_new (3);
-  Told told;
+  Result result;
   guint holder;
 
   sd_table_set_fault (fk_store_table (fixture->daemons.store), SD_TABLE_OUTAGE, 0, 0);
-  begin_at (fixture, holder_of (fixture, "k"), "k", "a", 1, &told);
+  begin_at (fixture, holder_of (fixture, "k"), "k", "a", 1, &result);
   run (fixture, 3 * KNL_SEC);
-  CU_ASSERT_EQUAL (told.verdict, VERDICT (REFUSED));
+  CU_ASSERT_EQUAL (result.verdict, VERDICT (REFUSED));
   sd_table_set_fault (fk_store_table (fixture->daemons.store), SD_TABLE_LOSE_ANSWERS, 0, 1);
-  begin_at (fixture, holder_of (fixture, "k"), "k", "a", 1, &told);
+  begin_at (fixture, holder_of (fixture, "k"), "k", "a", 1, &result);
   run (fixture, KNL_SEC);
-  CU_ASSERT_EQUAL (told.verdict, VERDICT (RUN));
+  CU_ASSERT_EQUAL (result.verdict, VERDICT (RUN));
   /* The time limit passes with the write's effect unknown: refused, then recorded as not run. */
   holder = holder_of (fixture, "l");
   fk_memory_platform_set_fault (fixture->daemons.platforms[holder], FK_PLATFORM_DEAF);
-  begin_at (fixture, holder, "l", "a", 1, &told);
+  begin_at (fixture, holder, "l", "a", 1, &result);
   run (fixture, 2100 * KNL_MSEC);
-  CU_ASSERT_EQUAL (told.verdict, VERDICT (REFUSED));
+  CU_ASSERT_EQUAL (result.verdict, VERDICT (REFUSED));
   fk_memory_platform_set_fault (fixture->daemons.platforms[holder], FK_PLATFORM_NORMAL);
   run (fixture, KNL_SEC);
-  begin_at (fixture, holder, "l", "b", 1, &told);
+  begin_at (fixture, holder, "l", "b", 1, &result);
   run (fixture, KNL_SEC);
-  CU_ASSERT_EQUAL (told.verdict, VERDICT (RUN));
+  CU_ASSERT_EQUAL (result.verdict, VERDICT (RUN));
 }
 
 static void
 test_many_requests_share_a_transaction (void)
 {
   g_autoptr (Fixture) fixture = fixture_new (4);
-  Told told[200];
+  Result result[200];
   guint64 before;
 
   before = co_idem_batches (fixture->idems[0]) + co_idem_batches (fixture->idems[1]);
-  for (guint i = 0; i < G_N_ELEMENTS (told); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (result); i++)
     {
       g_autofree char *key = g_strdup_printf ("k%u", i);
 
-      begin_at (fixture, holder_of (fixture, key), key, "a", 1, &told[i]);
+      begin_at (fixture, holder_of (fixture, key), key, "a", 1, &result[i]);
     }
   run (fixture, 10 * KNL_MSEC);
-  for (guint i = 0; i < G_N_ELEMENTS (told); i++)
-    CU_ASSERT_EQUAL (told[i].verdict, VERDICT (RUN));
+  for (guint i = 0; i < G_N_ELEMENTS (result); i++)
+    CU_ASSERT_EQUAL (result[i].verdict, VERDICT (RUN));
   CU_ASSERT_TRUE (co_idem_batches (fixture->idems[0]) + co_idem_batches (fixture->idems[1])
                   <= before + 3);
   CU_ASSERT_TRUE (co_idem_cached (fixture->idems[0]) + co_idem_cached (fixture->idems[1]) <= 8);
@@ -320,22 +320,22 @@
 {
   char name[4];
   char attempt[16];
-  Told told;
-  gboolean runs;  /* `attempt` was told to run and has not been recorded as not run */
-  gboolean ended; /* recorded as done */
-  gboolean asked; /* the last begin or finish has no result yet */
+  Result result;
+  gboolean runs;    /* `attempt` was told to run and has not been recorded as not run */
+  gboolean ended;   /* recorded as done */
+  gboolean pending; /* the last begin or finish has no result yet */
   Alderturn__IdemState finishing;
 } Subject;
 
 static void
-take_answer (Subject *subject)
+handle_result (Subject *subject)
 {
-  if (!subject->asked || subject->told.answers == 0)
+  if (!subject->pending || subject->result.answers == 0)
     return;
-  subject->asked = FALSE;
+  subject->pending = FALSE;
   if (subject->finishing != 0)
     {
-      if (subject->told.durable)
+      if (subject->result.durable)
         {
           subject->runs = FALSE;
           subject->ended = subject->ended || subject->finishing == STATE (DONE);
@@ -343,7 +343,7 @@
         }
       return;
     }
-  if (subject->told.verdict != VERDICT (RUN))
+  if (subject->result.verdict != VERDICT (RUN))
     return;
   if (subject->runs || subject->ended)
     CU_FAIL ("a second attempt was told to run");
@@ -355,20 +355,20 @@
 {
   guint holder = (guint)g_rand_int_range (rand, 0, HOLDERS);
 
-  take_answer (subject);
-  if (subject->asked)
+  handle_result (subject);
+  if (subject->pending)
     return;
-  subject->asked = TRUE;
+  subject->pending = TRUE;
   if (subject->runs)
     {
       if (subject->finishing == 0)
         subject->finishing = g_rand_int_range (rand, 0, 5) == 0 ? STATE (DONE) : STATE (NOT_RUN);
       finish_at (fixture, holder, subject->name, subject->attempt, subject->finishing,
-                 &subject->told);
+                 &subject->result);
       return;
     }
   g_snprintf (subject->attempt, sizeof (subject->attempt), "t%u", number);
-  begin_at (fixture, holder, subject->name, subject->attempt, 1, &subject->told);
+  begin_at (fixture, holder, subject->name, subject->attempt, 1, &subject->result);
 }
 
 static void
--- a/tests/unit/co_lease_test.c
+++ b/tests/unit/co_lease_test.c
@@ -116,9 +116,10 @@
   CU_ASSERT_EQUAL (fixture->changes, SHARDS);
   for (guint s = 0; s < SHARDS; s++)
     {
-      g_autofree char *thing = g_strdup_printf ("shard/%u", s);
+      g_autofree char *hash_key = g_strdup_printf ("shard/%u", s);
 
-      CU_ASSERT_EQUAL (co_rendezvous_rank (names, HOLDERS, names[fixture->holders[s]], thing), 0);
+      CU_ASSERT_EQUAL (co_rendezvous_rank (names, HOLDERS, names[fixture->holders[s]], hash_key),
+                       0);
       CU_ASSERT_STRING_EQUAL (co_lease_view (fixture->leases[0], s).holder,
                               names[fixture->holders[s]]);
     }
@@ -131,7 +132,7 @@
  * run.
  */
 static void
-test_a_paused_holder_is_none (void)
+test_a_paused_holder_does_not_hold_a_lease (void)
 {
   g_autoptr (Fixture) fixture = fixture_new (2);
 
@@ -176,7 +177,7 @@
 }
 
 static void
-test_released_shards_are_taken_at_once (void)
+test_released_shards_are_acquired_immediately (void)
 {
   g_autoptr (Fixture) fixture = fixture_new (4);
   gboolean released = FALSE;
@@ -208,7 +209,7 @@
 }
 
 static void
-test_a_restarted_process_does_not_take_its_former_self_for_itself (void)
+test_a_restarted_process_waits_for_its_predecessors_lease (void)
 {
   g_autoptr (Fixture) fixture = fixture_new (6);
 
@@ -289,18 +290,18 @@
 
 typedef struct
 {
-  gboolean asking;
-  guint told_while_asking;
-  guint told;
-} Asked;
+  gboolean checking_leases;
+  guint calls_while_checking;
+  guint losses;
+} ObserverCalls;
 
 static void
 on_change (CoLeases *leases, guint shard, guint64 fence, gpointer data)
 {
-  Asked *asked = data;
+  ObserverCalls *observer_calls = data;
 
-  asked->told += fence == 0 ? 1 : 0;
-  asked->told_while_asking += asked->asking ? 1 : 0;
+  observer_calls->losses += fence == 0 ? 1 : 0;
+  observer_calls->calls_while_checking += observer_calls->checking_leases ? 1 : 0;
 }
 
 /*
@@ -311,33 +312,33 @@
  * too. That call must not notify the observers itself.
  */
 static void
-test_a_question_tells_nobody (void)
+test_checking_a_lease_notifies_no_observers (void)
 {
   g_autoptr (Fixture) fixture = fixture_new (9);
-  Asked asked = { 0 };
+  ObserverCalls observer_calls = { 0 };
 
   run (fixture, 10 * KNL_SEC);
-  co_leases_observe (fixture->leases[0], on_change, &asked);
+  co_leases_observe (fixture->leases[0], on_change, &observer_calls);
   knl_paused_runtime_set_frozen (fixture->daemons.runtimes[0], TRUE);
   knl_paused_clock_advance (fixture->daemons.clock, 2 * DURATION);
-  asked.asking = TRUE;
+  observer_calls.checking_leases = TRUE;
   CU_ASSERT_EQUAL (co_leases_held (fixture->leases[0]), 0);
-  asked.asking = FALSE;
-  CU_ASSERT_EQUAL (asked.told_while_asking, 0);
+  observer_calls.checking_leases = FALSE;
+  CU_ASSERT_EQUAL (observer_calls.calls_while_checking, 0);
   knl_paused_runtime_set_frozen (fixture->daemons.runtimes[0], FALSE);
   knl_paused_clock_advance (fixture->daemons.clock, 0);
-  CU_ASSERT (asked.told > 0);
+  CU_ASSERT (observer_calls.losses > 0);
 }
 
 static const SuiteCase cases[] = {
-  { "checking a lease notifies no observers", test_a_question_tells_nobody },
+  { "checking a lease notifies no observers", test_checking_a_lease_notifies_no_observers },
   { "shards go to their first candidates", test_shards_go_to_their_first_candidates },
-  { "a paused holder does not hold a lease", test_a_paused_holder_is_none },
+  { "a paused holder does not hold a lease", test_a_paused_holder_does_not_hold_a_lease },
   { "lost answers are read back", test_lost_answers_are_read_back },
-  { "released shards are taken at once", test_released_shards_are_taken_at_once },
+  { "released shards are taken at once", test_released_shards_are_acquired_immediately },
   { "an outage ends all leases and they return", test_an_outage_ends_all_leases_and_they_return },
   { "a restarted process waits for its predecessor's lease",
-    test_a_restarted_process_does_not_take_its_former_self_for_itself },
+    test_a_restarted_process_waits_for_its_predecessors_lease },
   { "writes do not grow with holders", test_writes_do_not_grow_with_holders },
   { "random faults", test_random_faults },
 };
--- a/tests/unit/co_suspect_test.c
+++ b/tests/unit/co_suspect_test.c
@@ -12,7 +12,7 @@
 {
   Daemons daemons;
   CoSuspects *suspects[CONTROLLERS];
-  guint told[CONTROLLERS];
+  guint notified[CONTROLLERS];
 } Fixture;
 
 static void
@@ -31,7 +31,7 @@
     .scan_interval = 10 * KNL_SEC,
     .limit = 8,
     .changed = on_changed,
-    .data = &fixture->told[i],
+    .data = &fixture->notified[i],
   };
 
   fixture->suspects[i] = co_suspects_new (&options);
@@ -69,7 +69,7 @@
   report.endpoint_incarnation = incarnation;
   report.fingerprints = &fingerprint;
   report.n_fingerprints = 1;
-  co_suspects_crash (fixture->suspects[i], &report, TRUE);
+  co_suspects_handle_crash (fixture->suspects[i], &report, TRUE);
 }
 
 /* Number of a fingerprint's crashes known to controller `i`; 0: not a suspect. */
@@ -113,7 +113,7 @@
       for (guint i = 0; i < CONTROLLERS; i++)
         CU_ASSERT_EQUAL (crashes_at (fixture, i, 7), rows[r].crashes);
     }
-  CU_ASSERT_EQUAL (fixture->told[0], 2);
+  CU_ASSERT_EQUAL (fixture->notified[0], 2);
   /* The entry survives a restart, then expires on all controllers and in the table. */
   co_suspects_free (fixture->suspects[0]);
   start (fixture, 0);
@@ -138,7 +138,7 @@
   CU_ASSERT_EQUAL (co_suspects_count (fixture->suspects[0]), 8);
   CU_ASSERT_EQUAL (crashes_at (fixture, 0, 7), 2);
   all = co_suspects_all (fixture->suspects[0]);
-  co_suspects_hear (fixture->suspects[1], all);
+  co_suspects_handle_update (fixture->suspects[1], all);
   alderturn__suspect_update__free_unpacked (all, NULL);
   CU_ASSERT_EQUAL (crashes_at (fixture, 1, 7), 2);
 }
--- a/tests/unit/ct_controller_test.c
+++ b/tests/unit/ct_controller_test.c
@@ -36,7 +36,7 @@
     .seed = 1,
     .engine = sd_engine_defaults,
   };
-  g_autofree char *changes = fk_deployment_usual_changes (1);
+  g_autofree char *changes = fk_deployment_default_changes (1);
 
   options.engine.checks_fence = checks_fence;
   options.engine.hold_limit = 3600 * KNL_SEC;
@@ -58,7 +58,7 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (Fixture, fixture_free)
 
 static void
-run (Fixture *fixture, KnlTime time)
+advance (Fixture *fixture, KnlTime time)
 {
   knl_paused_clock_advance (fixture->clock, time);
 }
@@ -75,15 +75,15 @@
 
 /* The rows of `show TABLE` at a controller; a new reference. */
 static json_t *
-show (Fixture *fixture, guint instance, const char *table)
+show_rows (Fixture *fixture, guint instance, const char *table)
 {
   g_autofree char *path = g_strconcat ("/v1/show/", table, NULL);
   json_t *root;
   json_t *rows;
 
-  fk_deployment_operate (fixture->deployment, instance, "GET", path, NULL, NULL, on_answer,
-                         fixture);
-  run (fixture, KNL_SEC);
+  fk_deployment_operator_call (fixture->deployment, instance, "GET", path, NULL, NULL, on_answer,
+                               fixture);
+  advance (fixture, KNL_SEC);
   CU_ASSERT_EQUAL (fixture->status, 200);
   root = json_loads (fixture->body, 0, NULL);
   rows = json_incref (json_object_get (root, "rows"));
@@ -142,37 +142,37 @@
 static void
 test_all_entries_know_a_leaving_engine_within_three_seconds (void)
 {
-  for (guint way = 0; way < 3; way++)
+  for (guint source = 0; source < 3; source++)
     {
       g_autoptr (Fixture) fixture = fixture_new (TRUE);
 
-      run (fixture, 10 * KNL_SEC);
-      if (way == 0)
+      advance (fixture, 10 * KNL_SEC);
+      if (source == 0)
         sd_engine_leave (engine_at (fixture, 0));
-      else if (way == 1)
+      else if (source == 1)
         fk_deployment_list_engine (fixture->deployment, 0, "leaving");
       else
         CU_ASSERT_TRUE (fk_deployment_apply (
             fixture->deployment, "[{\"op\":\"set\",\"kind\":\"instance\",\"name\":\"engine-0\","
                                  "\"fields\":{\"state\":\"draining\"}}]"));
-      run (fixture, 3 * KNL_SEC);
+      advance (fixture, 3 * KNL_SEC);
       for (guint i = 0; i < INSTANCES; i++)
         CU_ASSERT_EQUAL (leaving_at (fixture, i), 1);
     }
 }
 
 static void
-test_a_drained_controller_gives_its_leases_up (void)
+test_a_drained_controller_releases_its_leases (void)
 {
   g_autoptr (Fixture) fixture = fixture_new (TRUE);
   json_t *rows;
 
-  run (fixture, 60 * KNL_SEC);
-  CU_ASSERT_TRUE (count_rows (show (fixture, 1, "leases"), "holder", "instance-0") > 0);
+  advance (fixture, 60 * KNL_SEC);
+  CU_ASSERT_TRUE (count_rows (show_rows (fixture, 1, "leases"), "holder", "instance-0") > 0);
   fk_deployment_drain (fixture->deployment, 0, FK_CONTROLLER);
-  run (fixture, 3 * KNL_SEC);
+  advance (fixture, 3 * KNL_SEC);
   CU_ASSERT_FALSE (fk_deployment_is_up (fixture->deployment, 0, FK_CONTROLLER));
-  rows = show (fixture, 1, "leases");
+  rows = show_rows (fixture, 1, "leases");
   CU_ASSERT_EQUAL (count_rows (json_incref (rows), "holder", "instance-0"), 0);
   CU_ASSERT_EQUAL (count_rows (rows, "state", "held"), 32);
 }
@@ -184,7 +184,7 @@
  * Cause: orders are sent once and not compared with the engines' reports.
  */
 static void
-test_engines_come_to_run_what_is_declared_and_stay_so (void)
+test_engines_converge_to_the_declared_configuration (void)
 {
   for (guint checks = 0; checks < 2; checks++)
     {
@@ -193,15 +193,15 @@
       guint64 fence;
       json_t *rows;
 
-      run (fixture, 40 * KNL_SEC);
-      rows = show (fixture, 2, "engines");
+      advance (fixture, 40 * KNL_SEC);
+      rows = show_rows (fixture, 2, "engines");
       CU_ASSERT_EQUAL (json_array_size (rows), ENGINES);
       CU_ASSERT_EQUAL (count_rows (json_incref (rows), "model", "m7"), ENGINES);
       CU_ASSERT_EQUAL (count_rows (json_incref (rows), "role", "long"), LONG_ENGINES);
       CU_ASSERT_EQUAL (count_rows (rows, "role", "short"), ENGINES - LONG_ENGINES);
       CU_ASSERT_EQUAL (sd_engine_order (engine_at (fixture, 0), &old, &fence), checks == 0);
-      run (fixture, 10 * KNL_SEC);
-      CU_ASSERT_EQUAL (count_rows (show (fixture, 2, "engines"), "model", "m7"), ENGINES);
+      advance (fixture, 10 * KNL_SEC);
+      CU_ASSERT_EQUAL (count_rows (show_rows (fixture, 2, "engines"), "model", "m7"), ENGINES);
     }
 }
 
@@ -216,20 +216,20 @@
 {
   g_autoptr (Fixture) fixture = fixture_new (TRUE);
   FkCaller *caller;
-  guint64 taken = 0;
+  guint64 used_tokens = 0;
 
-  run (fixture, 20 * KNL_SEC);
+  advance (fixture, 20 * KNL_SEC);
   caller = fk_caller_complete (fixture->clock, fk_deployment_core (fixture->deployment, 0), 0,
                                "long", 20000, 100000, 600 * KNL_SEC);
-  run (fixture, 5 * KNL_SEC);
+  advance (fixture, 5 * KNL_SEC);
   for (guint i = 0; i < ENGINES; i++)
-    taken += sd_engine_taken (engine_at (fixture, i));
-  CU_ASSERT_TRUE (taken > 0);
+    used_tokens += sd_engine_taken (engine_at (fixture, i));
+  CU_ASSERT_TRUE (used_tokens > 0);
   fk_deployment_kill (fixture->deployment, 0, FK_ENTRY);
-  run (fixture, restarts ? KNL_SEC : 80 * KNL_SEC);
+  advance (fixture, restarts ? KNL_SEC : 80 * KNL_SEC);
   if (restarts)
     fk_deployment_start (fixture->deployment, 0, FK_ENTRY);
-  run (fixture, 10 * KNL_SEC);
+  advance (fixture, 10 * KNL_SEC);
   for (guint i = 0; i < ENGINES; i++)
     CU_ASSERT_EQUAL (sd_engine_taken (engine_at (fixture, i)), 0);
   fk_caller_free (caller);
@@ -255,16 +255,17 @@
 
   revision = fk_deployment_revision (fixture->deployment, 0, FK_CONTROLLER);
   CU_ASSERT_EQUAL (revision, 4);
-  run (fixture, 10 * KNL_SEC);
+  advance (fixture, 10 * KNL_SEC);
   sd_table_set_fault (fk_store_table (fk_deployment_store (fixture->deployment)), SD_TABLE_OUTAGE,
                       0, 0);
   fk_deployment_kill (fixture->deployment, 1, FK_CONTROLLER);
-  run (fixture, KNL_SEC);
+  advance (fixture, KNL_SEC);
   fk_deployment_start (fixture->deployment, 1, FK_CONTROLLER);
-  run (fixture, 10 * KNL_SEC);
+  advance (fixture, 10 * KNL_SEC);
   CU_ASSERT_EQUAL (fk_deployment_revision (fixture->deployment, 1, FK_CONTROLLER), revision);
-  fk_deployment_operate (fixture->deployment, 1, "GET", "/readyz", NULL, NULL, on_answer, fixture);
-  run (fixture, KNL_SEC);
+  fk_deployment_operator_call (fixture->deployment, 1, "GET", "/readyz", NULL, NULL, on_answer,
+                               fixture);
+  advance (fixture, KNL_SEC);
   CU_ASSERT_EQUAL (fixture->status, 200);
 }
 
@@ -272,7 +273,7 @@
 static guint
 holder_of (Fixture *fixture, const char *key)
 {
-  json_auto_t *rows = show (fixture, 0, "leases");
+  json_auto_t *rows = show_rows (fixture, 0, "leases");
   const json_t *row = json_array_get (rows, co_idem_shard ("w0", key, 32));
   const char *holder = json_string_value (json_object_get (row, "holder"));
   guint instance =
@@ -340,7 +341,7 @@
 
   service = fk_fleet_service (fk_deployment_fleet (fixture->deployment),
                               fk_deployment_service_address (fixture->deployment, 0));
-  run (fixture, 15 * KNL_SEC);
+  advance (fixture, 15 * KNL_SEC);
   for (guint round = 0; round < 42; round++)
     {
       FkCaller *callers[2 * INSTANCES];
@@ -359,10 +360,10 @@
           if (i == INSTANCES - 1)
             {
               begin_fault (fixture, round, holder);
-              run (fixture, round < 21 ? round * KNL_MSEC : 9 * KNL_SEC);
+              advance (fixture, round < 21 ? round * KNL_MSEC : 9 * KNL_SEC);
             }
         }
-      run (fixture, 13 * KNL_SEC);
+      advance (fixture, 13 * KNL_SEC);
       for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
         {
           CU_ASSERT_EQUAL (callers[i]->ends, 1);
@@ -374,7 +375,7 @@
       if (round % ROUND_KINDS == 0 || round % ROUND_KINDS == ROUND_DRAINS)
         CU_ASSERT_TRUE (done > 0 && refused == 0 && sd_service_runs (service, key) == 1);
       end_faults (fixture);
-      run (fixture, 15 * KNL_SEC);
+      advance (fixture, 15 * KNL_SEC);
     }
 }
 
@@ -406,13 +407,13 @@
   };
   g_autoptr (Fixture) fixture = fixture_new (TRUE);
 
-  run (fixture, 5 * KNL_SEC);
+  advance (fixture, 5 * KNL_SEC);
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
     {
       fixture->status = 0;
-      fk_deployment_operate (fixture->deployment, 1, rows[i].method, rows[i].path, rows[i].query,
-                             rows[i].body, on_answer, fixture);
-      run (fixture, 2 * KNL_SEC);
+      fk_deployment_operator_call (fixture->deployment, 1, rows[i].method, rows[i].path,
+                                   rows[i].query, rows[i].body, on_answer, fixture);
+      advance (fixture, 2 * KNL_SEC);
       CU_ASSERT_EQUAL (fixture->status, rows[i].status);
       CU_ASSERT_PTR_NOT_NULL (strstr (fixture->body, rows[i].part));
     }
@@ -421,9 +422,9 @@
 static const SuiteCase cases[] = {
   { "all entries know a leaving engine within three seconds",
     test_all_entries_know_a_leaving_engine_within_three_seconds },
-  { "a drained controller gives its leases up", test_a_drained_controller_gives_its_leases_up },
+  { "a drained controller gives its leases up", test_a_drained_controller_releases_its_leases },
   { "engines come to run what is declared and stay so",
-    test_engines_come_to_run_what_is_declared_and_stay_so },
+    test_engines_converge_to_the_declared_configuration },
   { "a dead entry's requests are cancelled", test_a_dead_entrys_requests_are_cancelled },
   { "configuration comes from peers while the store is down",
     test_configuration_comes_from_peers_while_the_store_is_down },
--- a/tests/unit/ct_placement_test.c
+++ b/tests/unit/ct_placement_test.c
@@ -7,14 +7,14 @@
 
 #include <string.h>
 
-#define ENGINES_LIMIT 64
+#define MAX_ENGINES 64
 
 typedef struct
 {
   CoConfig *config;
   GPtrArray *view;
-  Alderturn__Member members[ENGINES_LIMIT];
-  char names[ENGINES_LIMIT][16];
+  Alderturn__Member members[MAX_ENGINES];
+  char names[MAX_ENGINES][16];
 } Fleet;
 
 static void
@@ -70,9 +70,10 @@
   g_hash_table_iter_init (&iter, placed);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const CtPlaced *one = value;
+      const CtPlaced *placed_engine = value;
 
-      if (strcmp (one->service, service) == 0 && (role == NULL || strcmp (one->role, role) == 0))
+      if (strcmp (placed_engine->service, service) == 0
+          && (role == NULL || strcmp (placed_engine->role, role) == 0))
         count++;
     }
   return count;
@@ -120,7 +121,7 @@
 }
 
 static void
-test_one_engine_less_moves_few_others (void)
+test_removing_an_engine_moves_few_others (void)
 {
   Fleet fleet;
   GHashTable *before;
@@ -131,21 +132,21 @@
   set_service (fleet.config, 2, "b", SERVICE ("n", "10", "0.3"));
   set_service (fleet.config, 3, "c", SERVICE ("o", "0", "0.3"));
   before = ct_placement_new (fleet.config, fleet.view);
-  for (guint gone = 0; gone < 40; gone++)
+  for (guint removed = 0; removed < 40; removed++)
     {
       GHashTable *after;
 
-      fleet.members[gone].state = ALDERTURN__MEMBER_STATE__MEMBER_STATE_LEAVING;
+      fleet.members[removed].state = ALDERTURN__MEMBER_STATE__MEMBER_STATE_LEAVING;
       after = ct_placement_new (fleet.config, fleet.view);
-      CU_ASSERT_PTR_NULL (g_hash_table_lookup (after, fleet.names[gone]));
+      CU_ASSERT_PTR_NULL (g_hash_table_lookup (after, fleet.names[removed]));
       for (guint i = 0; i < 40; i++)
         {
           const CtPlaced *x = g_hash_table_lookup (before, fleet.names[i]);
           const CtPlaced *y = g_hash_table_lookup (after, fleet.names[i]);
 
-          moved += i != gone && strcmp (x->service, y->service) != 0 ? 1 : 0;
+          moved += i != removed && strcmp (x->service, y->service) != 0 ? 1 : 0;
         }
-      fleet.members[gone].state = ALDERTURN__MEMBER_STATE__MEMBER_STATE_LIVE;
+      fleet.members[removed].state = ALDERTURN__MEMBER_STATE__MEMBER_STATE_LIVE;
       g_hash_table_destroy (after);
     }
   /* At most two moves for each of the 15 engines of "a", as an engine of "b" may replace it and be
@@ -203,7 +204,7 @@
 
 /* Steps every half second for `time`. Returns when the first order was sent, or -1 if none was. */
 static KnlTime
-first_order (Sender *sender, KnlTime time)
+time_of_first_order (Sender *sender, KnlTime time)
 {
   static const CtPlaced wanted = { .service = (char *)"a", .model = (char *)"m", .role = "short" };
 
@@ -211,7 +212,7 @@
     {
       SdEngine *engine = fk_fleet_engine (sender->fleet, "10.1.0.1:80");
 
-      ct_order_step (sender->order, "10.1.0.1:80", sd_engine_report (engine), &wanted);
+      ct_order_handle_report (sender->order, "10.1.0.1:80", sd_engine_report (engine), &wanted);
       if (sender->orders.sent > 0)
         return t;
       knl_paused_clock_advance (sender->daemons.clock, KNL_SEC / 2);
@@ -225,14 +226,14 @@
  * Cause: such an engine executes whichever order arrives last, so only waiting prevents it.
  */
 static void
-test_the_former_holders_orders_are_waited_out (void)
+test_orders_wait_for_the_former_holders_orders (void)
 {
   for (guint checks = 0; checks < 2; checks++)
     {
       Sender sender;
 
       sender_init (&sender, checks == 1);
-      CU_ASSERT_EQUAL (first_order (&sender, 20 * KNL_SEC), checks == 1 ? 0 : 11 * KNL_SEC);
+      CU_ASSERT_EQUAL (time_of_first_order (&sender, 20 * KNL_SEC), checks == 1 ? 0 : 11 * KNL_SEC);
       sender_clear (&sender);
     }
 }
@@ -243,22 +244,22 @@
  * Cause: the lease isn't checked right before the order is sent.
  */
 static void
-test_no_order_without_a_lease_at_that_moment (void)
+test_no_order_after_the_lease_has_expired (void)
 {
   Sender sender;
 
   sender_init (&sender, TRUE);
   knl_paused_runtime_set_frozen (sender.daemons.runtimes[0], TRUE);
   knl_paused_clock_advance (sender.daemons.clock, 7 * KNL_SEC);
-  CU_ASSERT_EQUAL (first_order (&sender, KNL_SEC), -1);
+  CU_ASSERT_EQUAL (time_of_first_order (&sender, KNL_SEC), -1);
   sender_clear (&sender);
 }
 
 static const SuiteCase cases[] = {
   { "placement by table", test_placement_by_table },
-  { "one engine less moves few others", test_one_engine_less_moves_few_others },
-  { "the former holder's orders are waited out", test_the_former_holders_orders_are_waited_out },
-  { "no order without a lease at that moment", test_no_order_without_a_lease_at_that_moment },
+  { "one engine less moves few others", test_removing_an_engine_moves_few_others },
+  { "the former holder's orders are waited out", test_orders_wait_for_the_former_holders_orders },
+  { "no order without a lease at that moment", test_no_order_after_the_lease_has_expired },
 };
 
 SUITE_MAIN ("ct_placement", cases)
--- a/tests/unit/ctl_parse_test.c
+++ b/tests/unit/ctl_parse_test.c
@@ -110,11 +110,11 @@
  * Cause: conditions are parsed recursively, without a limit on the depth.
  */
 static void
-test_endless_conditions (void)
+test_oversized_conditions (void)
 {
   static const struct
   {
-    const char *part;
+    const char *operand;
     const char *finding;
   } rows[] = {
     { "fence = 1 and ", "c:1:3613: more than 256 times \"and\"\n" },
@@ -126,11 +126,11 @@
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
     {
       g_autoptr (GString) text = g_string_new ("show leases where ");
-      Row row = { rows[i].part, rows[i].finding };
+      Row row = { rows[i].operand, rows[i].finding };
       g_auto (CmFindings) findings;
 
       for (guint k = 0; k < 100000; k++)
-        g_string_append (text, rows[i].part);
+        g_string_append (text, rows[i].operand);
       cm_findings_init (&findings);
       g_ptr_array_unref (cl_commands_parse (text->str, "c", &loader, &findings));
       check_findings (&row, &findings);
@@ -281,7 +281,7 @@
 
 static const SuiteCase cases[] = {
   { "commands and their findings", test_commands_by_table },
-  { "conditions without end", test_endless_conditions },
+  { "conditions without end", test_oversized_conditions },
   { "files and their findings", test_files_by_table },
   { "changes as the controller takes them", test_changes_as_json },
   { "numbers", test_numbers_by_table },
--- a/tests/unit/ctl_session_test.c
+++ b/tests/unit/ctl_session_test.c
@@ -6,7 +6,7 @@
 
 #include <string.h>
 
-#define CALLS_LIMIT 8
+#define MAX_CALLS 8
 
 /* One scripted reply. */
 typedef struct
@@ -22,15 +22,15 @@
   guint count;
   guint calls;
   KnlTime now;
-  gboolean uncertain;            /* an earlier attempt may have taken effect */
-  char *operations[CALLS_LIMIT]; /* operation ids in the calls' bodies */
-  GString *asked;                /* "ADDRESS PATH" of each call, one per line */
-} Fake;
+  gboolean uncertain;          /* an earlier attempt may have taken effect */
+  char *operations[MAX_CALLS]; /* operation ids in the calls' bodies */
+  GString *requests_received;  /* "ADDRESS PATH" of each call, one per line */
+} FakeTransport;
 
 static void
-fake_answer (ClTransport *transport, const ClCall *call, ClReply **given)
+fake_answer (ClTransport *transport, const ClCall *call, ClReply **reply_out)
 {
-  Fake *fake = (Fake *)transport;
+  FakeTransport *fake = (FakeTransport *)transport;
   const Answer *answer = &fake->answers[MIN (fake->calls, fake->count - 1)];
   ClReply *reply = g_new0 (ClReply, 1);
   json_t *body = call->body != NULL ? json_loads (call->body, 0, NULL) : NULL;
@@ -39,11 +39,11 @@
    * unknown outcome. */
   CU_ASSERT_TRUE (body == NULL || fake->uncertain || call->timeout >= KNL_SEC);
   fake->uncertain = fake->uncertain || answer->status < 0 || answer->status == 500;
-  if (fake->calls < CALLS_LIMIT)
+  if (fake->calls < MAX_CALLS)
     fake->operations[fake->calls] =
         g_strdup (json_string_value (json_object_get (body, "operation")));
   json_decref (body);
-  g_string_append_printf (fake->asked, "%s %s\n", call->address, call->path);
+  g_string_append_printf (fake->requests_received, "%s %s\n", call->address, call->path);
   fake->calls++;
   fake->now += KNL_SEC;
   reply->state = answer->status > 0    ? CL_REPLY_ANSWERED
@@ -52,7 +52,7 @@
   reply->status = MAX (answer->status, 0);
   reply->problem = answer->status > 0 ? NULL : g_strdup ("gone");
   reply->body = answer->body != NULL ? json_loads (answer->body, 0, NULL) : NULL;
-  *given = reply;
+  *reply_out = reply;
 }
 
 static void
@@ -65,13 +65,13 @@
 static void
 fake_pause (ClTransport *transport, KnlTime time)
 {
-  ((Fake *)transport)->now += time;
+  ((FakeTransport *)transport)->now += time;
 }
 
 static KnlTime
 fake_now (ClTransport *transport)
 {
-  return ((Fake *)transport)->now;
+  return ((FakeTransport *)transport)->now;
 }
 
 static const ClTransportClass fake_class = {
@@ -90,27 +90,27 @@
 } Row;
 
 static void
-fake_init (Fake *fake, const Row *row)
+fake_init (FakeTransport *fake, const Row *row)
 {
-  *fake = (Fake){ .transport.klass = &fake_class, .answers = row->answers };
-  fake->asked = g_string_new (NULL);
+  *fake = (FakeTransport){ .transport.klass = &fake_class, .answers = row->answers };
+  fake->requests_received = g_string_new (NULL);
   while (fake->count < G_N_ELEMENTS (row->answers)
          && (row->answers[fake->count].status != 0 || row->answers[fake->count].body != NULL))
     fake->count++;
 }
 
 static void
-fake_clear (Fake *fake)
+fake_clear (FakeTransport *fake)
 {
-  for (guint i = 0; i < CALLS_LIMIT; i++)
+  for (guint i = 0; i < MAX_CALLS; i++)
     g_free (fake->operations[i]);
-  g_string_free (fake->asked, TRUE);
+  g_string_free (fake->requests_received, TRUE);
 }
 
 static void
-check_same_operation (const Fake *fake)
+check_same_operation (const FakeTransport *fake)
 {
-  for (guint i = 1; i < MIN (fake->calls, CALLS_LIMIT); i++)
+  for (guint i = 1; i < MIN (fake->calls, MAX_CALLS); i++)
     CU_ASSERT_TRUE (g_strcmp0 (fake->operations[0], fake->operations[i]) == 0);
 }
 
@@ -134,7 +134,7 @@
 static void
 check_row (const Row *row)
 {
-  Fake fake;
+  FakeTransport fake;
   char *addresses[] = { "one", "two", NULL };
   ClSession session = {
     .transport = &fake.transport,
@@ -238,7 +238,7 @@
   }
 
 static void
-test_questions_by_table (void)
+test_reads_by_table (void)
 {
   static const Row rows[] = {
     { "show instances where kind = entry columns name, address",
@@ -303,7 +303,7 @@
 
 static const SuiteCase cases[] = {
   { "changes: outcome and retries", test_changes_by_table },
-  { "questions to controllers and entries", test_questions_by_table },
+  { "questions to controllers and entries", test_reads_by_table },
   { "JSON output", test_json_output },
 };
 
--- a/tests/unit/daemons.h
+++ b/tests/unit/daemons.h
@@ -5,7 +5,7 @@
 #include "kernel/paused.h"
 #include "tests/fakes/memory_platform.h"
 
-#define DAEMONS_LIMIT 8
+#define MAX_DAEMONS 8
 
 typedef struct
 {
@@ -13,9 +13,9 @@
   KnlKernel *store_kernel;
   FkStore *store;
   guint n;
-  KnlRuntime *runtimes[DAEMONS_LIMIT];
-  KnlKernel *kernels[DAEMONS_LIMIT];
-  TbTable *platforms[DAEMONS_LIMIT];
+  KnlRuntime *runtimes[MAX_DAEMONS];
+  KnlKernel *kernels[MAX_DAEMONS];
+  TbTable *platforms[MAX_DAEMONS];
 } Daemons;
 
 static inline void
--- a/tests/unit/en_core_test.c
+++ b/tests/unit/en_core_test.c
@@ -75,25 +75,25 @@
 static void
 test_a_leaving_engine_gets_no_new_work (void)
 {
-  for (guint way = 0; way < 3; way++)
+  for (guint variant = 0; variant < 3; variant++)
     {
       EnTestCaller callers[8];
       g_autoptr (EnFixture) fixture = en_fixture_new (NULL);
 
-      en_fixture_ask (fixture, &fixture->caller, "running", 100, LIMIT);
+      en_fixture_submit (fixture, &fixture->caller, "running", 100, LIMIT);
       while (fixture->caller.tokens == 0)
         en_fixture_advance (fixture, 10 * KNL_MSEC);
       /* The other engines are busier, so that the leaving one would be chosen. */
       for (guint i = 0; i < 2; i++)
         {
           callers[i] = en_test_caller_make (fixture->kernel);
-          en_fixture_ask (fixture, &callers[i], "new", 2000, LIMIT);
+          en_fixture_submit (fixture, &callers[i], "new", 2000, LIMIT);
           en_fixture_advance (fixture, 100 * KNL_MSEC);
         }
       CU_ASSERT_EQUAL (en_fixture_busy_engine (fixture), 0);
-      if (way == 0)
+      if (variant == 0)
         sd_engine_leave (fk_fleet_engine (fixture->fleet, en_fixture_engine (0)));
-      else if (way == 1)
+      else if (variant == 1)
         en_fixture_member (fixture, "engine-1", ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENGINE,
                            ALDERTURN__MEMBER_STATE__MEMBER_STATE_LEAVING, 0);
       else
@@ -101,16 +101,16 @@
       for (guint i = 2; i < G_N_ELEMENTS (callers); i++)
         {
           callers[i] = en_test_caller_make (fixture->kernel);
-          en_fixture_ask (fixture, &callers[i], "new", 5, LIMIT);
+          en_fixture_submit (fixture, &callers[i], "new", 5, LIMIT);
         }
       for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
         {
           CU_ASSERT_TRUE (en_fixture_wait (fixture, &callers[i], LIMIT));
-          CU_ASSERT_TRUE (en_test_caller_has (&callers[i], "new", i < 2 ? 2000 : 5));
+          CU_ASSERT_TRUE (en_test_caller_has_answer (&callers[i], "new", i < 2 ? 2000 : 5));
           en_test_caller_clear (&callers[i]);
         }
       CU_ASSERT_TRUE (en_fixture_wait (fixture, &fixture->caller, LIMIT));
-      CU_ASSERT_TRUE (en_test_caller_has (&fixture->caller, "running", 100));
+      CU_ASSERT_TRUE (en_test_caller_has_answer (&fixture->caller, "running", 100));
       CU_ASSERT_EQUAL (sd_engine_ran (fk_fleet_engine (fixture->fleet, en_fixture_engine (0)))->len,
                        1);
     }
@@ -136,7 +136,7 @@
   g_auto (EnTestCaller) with_old_list = en_test_caller_make (fixture->kernel);
   g_auto (EnTestCaller) too_late = en_test_caller_make (fixture->kernel);
 
-  en_fixture_ask (fixture, &fixture->caller, "long stream", 500, LIMIT);
+  en_fixture_submit (fixture, &fixture->caller, "long stream", 500, LIMIT);
   en_core_drain (fixture->core, on_drained, &drained);
   en_core_drain (fixture->core, on_drained, &drained);
   entries = en_core_entries (fixture->core);
@@ -144,17 +144,17 @@
   json_decref (entries);
   en_fixture_advance (fixture, 900 * KNL_MSEC);
   CU_ASSERT_TRUE (fixture->uplink.last_status.draining);
-  en_fixture_ask (fixture, &with_old_list, "by an old list", 5, LIMIT);
+  en_fixture_submit (fixture, &with_old_list, "by an old list", 5, LIMIT);
   CU_ASSERT_TRUE (en_fixture_wait (fixture, &with_old_list, LIMIT));
-  CU_ASSERT_TRUE (en_test_caller_has (&with_old_list, "by an old list", 5));
+  CU_ASSERT_TRUE (en_test_caller_has_answer (&with_old_list, "by an old list", 5));
   en_fixture_advance (fixture, 5 * KNL_SEC);
-  en_fixture_ask (fixture, &too_late, "late", 5, LIMIT);
+  en_fixture_submit (fixture, &too_late, "late", 5, LIMIT);
   CU_ASSERT_EQUAL (too_late.code, EN_ERROR_DRAINING);
   CU_ASSERT_EQUAL (too_late.outcome, EN_OUTCOME_NOT_RUN);
   CU_ASSERT_TRUE (too_late.retry_after > 0);
   CU_ASSERT_EQUAL (drained, 0);
   CU_ASSERT_TRUE (en_fixture_wait (fixture, &fixture->caller, LIMIT));
-  CU_ASSERT_TRUE (en_test_caller_has (&fixture->caller, "long stream", 500));
+  CU_ASSERT_TRUE (en_test_caller_has_answer (&fixture->caller, "long stream", 500));
   en_fixture_advance (fixture, 5 * KNL_SEC);
   CU_ASSERT_EQUAL (drained, 1);
 }
@@ -180,16 +180,16 @@
       en_fixture_set (fixture, "instance", "e1", "{\"state\":\"draining\"}");
       CU_ASSERT_EQUAL (listed_entries (fixture), 0);
       en_fixture_advance (fixture, seconds * KNL_SEC);
-      en_fixture_ask (fixture, &fixture->caller, "meanwhile", 5, LIMIT);
+      en_fixture_submit (fixture, &fixture->caller, "meanwhile", 5, LIMIT);
       CU_ASSERT_EQUAL (fixture->caller.ended, (guint)(seconds > 5));
       en_fixture_set (fixture, "instance", "e1", "{\"state\":\"serving\"}");
       CU_ASSERT_EQUAL (listed_entries (fixture), 1);
       CU_ASSERT_TRUE (en_fixture_wait (fixture, &fixture->caller, LIMIT));
       en_test_caller_clear (&fixture->caller);
       fixture->caller = en_test_caller_make (fixture->kernel);
-      en_fixture_ask (fixture, &fixture->caller, "again", 5, LIMIT);
+      en_fixture_submit (fixture, &fixture->caller, "again", 5, LIMIT);
       CU_ASSERT_TRUE (en_fixture_wait (fixture, &fixture->caller, LIMIT));
-      CU_ASSERT_TRUE (en_test_caller_has (&fixture->caller, "again", 5));
+      CU_ASSERT_TRUE (en_test_caller_has_answer (&fixture->caller, "again", 5));
     }
 }
 
@@ -203,7 +203,7 @@
 {
   g_autofree char *prompt = g_strnfill ((gsize)4 * 700000, 'o');
 
-  for (guint way = 0; way < 3; way++)
+  for (guint variant = 0; variant < 3; variant++)
     {
       g_autoptr (EnFixture) fixture = en_fixture_new (NULL);
       guint64 number;
@@ -212,23 +212,23 @@
                       "{\"kind\":\"model\",\"endpoints\":\"gpu\",\"model\":\"m\","
                       "\"long-share\":1}");
       CU_ASSERT_TRUE (sd_engine_defaults.capacity_tokens < 700000);
-      number = en_fixture_ask (fixture, &fixture->caller, prompt, 20, 600 * KNL_SEC);
+      number = en_fixture_submit (fixture, &fixture->caller, prompt, 20, 600 * KNL_SEC);
       en_fixture_advance (fixture, 5 * KNL_SEC);
-      CU_ASSERT_NOT_EQUAL (en_fixture_taken (fixture), 0);
-      if (way == 1)
+      CU_ASSERT_NOT_EQUAL (en_fixture_in_use (fixture), 0);
+      if (variant == 1)
         {
           fk_fleet_crash (fixture->fleet, en_fixture_engine (1));
           fk_fleet_restart (fixture->fleet, en_fixture_engine (1));
         }
-      if (way == 2)
-        en_core_caller_gone (fixture->core, number);
+      if (variant == 2)
+        en_core_caller_disconnected (fixture->core, number);
       else
         {
           CU_ASSERT_TRUE (en_fixture_wait (fixture, &fixture->caller, 600 * KNL_SEC));
-          CU_ASSERT_TRUE (en_test_caller_has (&fixture->caller, prompt, 20));
+          CU_ASSERT_TRUE (en_test_caller_has_answer (&fixture->caller, prompt, 20));
         }
       en_fixture_advance (fixture, 35 * KNL_SEC);
-      CU_ASSERT_EQUAL (en_fixture_taken (fixture), 0);
+      CU_ASSERT_EQUAL (en_fixture_in_use (fixture), 0);
     }
 }
 
@@ -264,9 +264,9 @@
       if (rows[i].second != NULL)
         en_fixture_member (fixture, rows[i].second, ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENGINE,
                            ALDERTURN__MEMBER_STATE__MEMBER_STATE_LIVE, 0);
-      en_fixture_ask (fixture, &fixture->caller, prompt, 20, 60 * KNL_SEC);
+      en_fixture_submit (fixture, &fixture->caller, prompt, 20, 60 * KNL_SEC);
       CU_ASSERT_TRUE (en_fixture_wait (fixture, &fixture->caller, 70 * KNL_SEC));
-      CU_ASSERT_TRUE (en_test_caller_has (&fixture->caller, prompt, 20));
+      CU_ASSERT_TRUE (en_test_caller_has_answer (&fixture->caller, prompt, 20));
     }
 }
 
@@ -283,15 +283,15 @@
   fixture->uplink.down = TRUE;
   for (guint minute = 0; minute < 10; minute++)
     {
-      g_auto (EnTestCaller) brief = en_test_caller_make (fixture->kernel);
-      g_auto (EnTestCaller) lengthy = en_test_caller_make (fixture->kernel);
+      g_auto (EnTestCaller) short_caller = en_test_caller_make (fixture->kernel);
+      g_auto (EnTestCaller) long_caller = en_test_caller_make (fixture->kernel);
 
-      en_fixture_ask (fixture, &lengthy, prompt, 5, LIMIT);
-      en_fixture_ask (fixture, &brief, "short", 5, LIMIT);
-      CU_ASSERT_TRUE (en_fixture_wait (fixture, &brief, LIMIT));
-      CU_ASSERT_TRUE (en_test_caller_has (&brief, "short", 5));
-      CU_ASSERT_TRUE (en_fixture_wait (fixture, &lengthy, LIMIT));
-      CU_ASSERT_TRUE (en_test_caller_has (&lengthy, prompt, 5));
+      en_fixture_submit (fixture, &long_caller, prompt, 5, LIMIT);
+      en_fixture_submit (fixture, &short_caller, "short", 5, LIMIT);
+      CU_ASSERT_TRUE (en_fixture_wait (fixture, &short_caller, LIMIT));
+      CU_ASSERT_TRUE (en_test_caller_has_answer (&short_caller, "short", 5));
+      CU_ASSERT_TRUE (en_fixture_wait (fixture, &long_caller, LIMIT));
+      CU_ASSERT_TRUE (en_test_caller_has_answer (&long_caller, prompt, 5));
       en_fixture_advance (fixture, LIMIT);
     }
 }
@@ -322,7 +322,7 @@
       /* Each prompt begins differently, so that no prefix cache helps. */
       g_snprintf (prompt, 8, "%07u", i);
       prompt[7] = ' ';
-      en_fixture_ask (fixture, &callers[i], prompt, 5, 5 * KNL_SEC);
+      en_fixture_submit (fixture, &callers[i], prompt, 5, 5 * KNL_SEC);
       refused_at_once += callers[i].ended > 0;
       en_fixture_advance (fixture, KNL_SEC / EACH);
     }
@@ -353,7 +353,7 @@
   json_t *one;
   char *id;
 
-  en_fixture_ask (fixture, &fixture->caller, "seen", 5, LIMIT);
+  en_fixture_submit (fixture, &fixture->caller, "seen", 5, LIMIT);
   rows = en_core_requests (fixture->core);
   CU_ASSERT_EQUAL (json_array_size (json_object_get (rows, "rows")), 1);
   id = g_strdup (json_string_value (
--- a/tests/unit/en_faults_test.c
+++ b/tests/unit/en_faults_test.c
@@ -67,21 +67,22 @@
     {
       const FaultCase *c = &fault_cases[i];
       g_autoptr (EnFixture) fixture = en_fixture_new (NULL);
-      gboolean whole;
+      gboolean complete;
 
       set_faults (fixture, c);
-      en_fixture_ask (fixture, &fixture->caller, PROMPT, TOKENS, LIMIT);
+      en_fixture_submit (fixture, &fixture->caller, PROMPT, TOKENS, LIMIT);
       en_fixture_wait (fixture, &fixture->caller, LIMIT + MARGIN);
-      whole = en_test_caller_has (&fixture->caller, PROMPT, TOKENS);
-      if (!whole || fixture->caller.ended != 1 || (c->ran_once && en_fixture_runs (fixture) != 1))
+      complete = en_test_caller_has_answer (&fixture->caller, PROMPT, TOKENS);
+      if (!complete || fixture->caller.ended != 1
+          || (c->ran_once && en_fixture_runs (fixture) != 1))
         printf ("\n  %s: ended %u, done %d, code %d, tokens %d, runs %u", c->name,
                 fixture->caller.ended, fixture->caller.done, fixture->caller.code,
                 (int)fixture->caller.tokens, en_fixture_runs (fixture));
-      CU_ASSERT_TRUE (whole);
+      CU_ASSERT_TRUE (complete);
       CU_ASSERT_EQUAL (fixture->caller.ended, 1);
       CU_ASSERT_TRUE (!c->ran_once || en_fixture_runs (fixture) == 1);
       en_fixture_advance (fixture, 35 * KNL_SEC);
-      CU_ASSERT_EQUAL (en_fixture_taken (fixture), 0);
+      CU_ASSERT_EQUAL (en_fixture_in_use (fixture), 0);
     }
 }
 
@@ -107,7 +108,7 @@
       g_autoptr (EnFixture) fixture = en_fixture_new (NULL);
       int engine;
 
-      en_fixture_ask (fixture, &fixture->caller, PROMPT, TOKENS, LIMIT);
+      en_fixture_submit (fixture, &fixture->caller, PROMPT, TOKENS, LIMIT);
       while (fixture->caller.tokens < 3)
         en_fixture_advance (fixture, 10 * KNL_MSEC);
       CU_ASSERT_EQUAL (fixture->caller.ended, 0);
@@ -119,14 +120,14 @@
       if (losses[i] == LOSS_RESTART)
         fk_fleet_restart (fixture->fleet, en_fixture_engine ((guint)engine));
       CU_ASSERT_TRUE (en_fixture_wait (fixture, &fixture->caller, LIMIT + MARGIN));
-      CU_ASSERT_TRUE (en_test_caller_has (&fixture->caller, PROMPT, TOKENS));
+      CU_ASSERT_TRUE (en_test_caller_has_answer (&fixture->caller, PROMPT, TOKENS));
       CU_ASSERT_EQUAL (fixture->uplink.crashes->len, losses[i] == LOSS_FREEZE ? 0 : 1);
       if (losses[i] == LOSS_FREEZE)
         fk_fleet_set_frozen (fixture->fleet, en_fixture_engine ((guint)engine), FALSE);
       else if (losses[i] == LOSS_CRASH)
         fk_fleet_restart (fixture->fleet, en_fixture_engine ((guint)engine));
       en_fixture_advance (fixture, 35 * KNL_SEC);
-      CU_ASSERT_EQUAL (en_fixture_taken (fixture), 0);
+      CU_ASSERT_EQUAL (en_fixture_in_use (fixture), 0);
     }
 }
 
@@ -168,7 +169,7 @@
           fk_fleet_set_frozen (fixture->fleet, en_fixture_engine (e), c->frozen);
         }
       asked_at = knl_kernel_now (fixture->kernel);
-      en_fixture_ask (fixture, &fixture->caller, PROMPT, TOKENS, limit);
+      en_fixture_submit (fixture, &fixture->caller, PROMPT, TOKENS, limit);
       CU_ASSERT_TRUE (en_fixture_wait (fixture, &fixture->caller, 10 * limit));
       if (fixture->caller.code != c->code || fixture->caller.outcome != c->outcome)
         printf ("\n  %s: code %d, outcome %d", c->name, fixture->caller.code,
@@ -185,12 +186,12 @@
         }
       en_fixture_advance (fixture, 60 * KNL_SEC);
       CU_ASSERT_EQUAL (fixture->caller.ended, 1);
-      CU_ASSERT_EQUAL (en_fixture_taken (fixture), 0);
+      CU_ASSERT_EQUAL (en_fixture_in_use (fixture), 0);
     }
 }
 
 static guint64
-engines_taken (EnFixture *fixture)
+engines_in_use (EnFixture *fixture)
 {
   guint64 taken = 0;
 
@@ -213,19 +214,19 @@
       guint64 number;
 
       fixture->caller.refuses_tokens = slow == 1;
-      number = en_fixture_ask (fixture, &fixture->caller, PROMPT, 10000, LIMIT);
-      while (engines_taken (fixture) == 0)
+      number = en_fixture_submit (fixture, &fixture->caller, PROMPT, 10000, LIMIT);
+      while (engines_in_use (fixture) == 0)
         en_fixture_advance (fixture, KNL_MSEC);
       for (guint e = 0; e < EN_FIXTURE_ENGINES; e++)
         fk_fleet_set_fault (fixture->fleet, en_fixture_engine (e), FK_CONNECTION_REFUSED, 0, 5);
       while (fixture->caller.tokens < 1)
         en_fixture_advance (fixture, KNL_MSEC);
-      CU_ASSERT_NOT_EQUAL (engines_taken (fixture), 0);
+      CU_ASSERT_NOT_EQUAL (engines_in_use (fixture), 0);
       if (!slow)
-        en_core_caller_gone (fixture->core, number);
+        en_core_caller_disconnected (fixture->core, number);
       CU_ASSERT_EQUAL (fixture->caller.ended, slow);
       en_fixture_advance (fixture, 20 * KNL_SEC);
-      CU_ASSERT_EQUAL (en_fixture_taken (fixture), 0);
+      CU_ASSERT_EQUAL (en_fixture_in_use (fixture), 0);
     }
 }
 
@@ -235,26 +236,26 @@
  * cancel must not be repeated indefinitely.
  */
 static void
-test_cancels_to_an_engine_that_is_gone (void)
+test_cancels_to_a_removed_engine (void)
 {
   g_autoptr (EnFixture) fixture = en_fixture_new (NULL);
   guint64 number;
   int engine;
   char name[] = "engine-1";
 
-  number = en_fixture_ask (fixture, &fixture->caller, PROMPT, 10000, LIMIT);
+  number = en_fixture_submit (fixture, &fixture->caller, PROMPT, 10000, LIMIT);
   while (fixture->caller.tokens < 1)
     en_fixture_advance (fixture, KNL_MSEC);
   engine = en_fixture_busy_engine (fixture);
   name[strlen (name) - 1] = (char)('1' + engine);
   fk_fleet_crash (fixture->fleet, en_fixture_engine ((guint)engine));
-  en_core_caller_gone (fixture->core, number);
+  en_core_caller_disconnected (fixture->core, number);
   en_fixture_member (fixture, name, ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENGINE,
                      ALDERTURN__MEMBER_STATE__MEMBER_STATE_DEAD, 0);
   en_fixture_advance (fixture, 30 * KNL_SEC);
-  CU_ASSERT_NOT_EQUAL (en_fixture_taken (fixture), 0);
+  CU_ASSERT_NOT_EQUAL (en_fixture_in_use (fixture), 0);
   en_fixture_advance (fixture, 40 * KNL_SEC);
-  CU_ASSERT_EQUAL (en_fixture_taken (fixture), 0);
+  CU_ASSERT_EQUAL (en_fixture_in_use (fixture), 0);
 }
 
 static const SuiteCase cases[] = {
@@ -262,7 +263,7 @@
   { "a stream continues correctly after its engine is lost", test_engine_lost_in_the_stream },
   { "no caller waits past its limit", test_limits },
   { "memory comes back when cancels are lost", test_lost_cancels },
-  { "cancels to an engine that is gone end", test_cancels_to_an_engine_that_is_gone },
+  { "cancels to an engine that is gone end", test_cancels_to_a_removed_engine },
 };
 
 SUITE_MAIN ("en_faults", cases)
--- a/tests/unit/en_fixture.c
+++ b/tests/unit/en_fixture.c
@@ -149,7 +149,7 @@
     .max_queued = 100,
     .max_new_tokens = 10000,
     .max_limit = 1000 * KNL_SEC,
-    .keep = KNL_SEC,
+    .entries_ttl = KNL_SEC,
   };
   EnCoreParts parts;
   SdEngineSettings engine = settings != NULL ? *settings : sd_engine_defaults;
@@ -225,11 +225,11 @@
 }
 
 guint64
-en_fixture_ask (EnFixture *self,
-                EnTestCaller *caller,
-                const char *prompt,
-                guint64 max_tokens,
-                KnlTime limit)
+en_fixture_submit (EnFixture *self,
+                   EnTestCaller *caller,
+                   const char *prompt,
+                   guint64 max_tokens,
+                   KnlTime limit)
 {
   EnSubmission submission = {
     .token = "t1",
@@ -244,7 +244,7 @@
 }
 
 gboolean
-en_test_caller_has (const EnTestCaller *caller, const char *prompt, guint64 count)
+en_test_caller_has_answer (const EnTestCaller *caller, const char *prompt, guint64 count)
 {
   g_autoptr (GString) expected = g_string_new (NULL);
   gboolean same;
@@ -270,7 +270,7 @@
 }
 
 guint64
-en_fixture_taken (EnFixture *self)
+en_fixture_in_use (EnFixture *self)
 {
   const GPtrArray *endpoints = en_fleet_endpoints (en_core_fleet (self->core));
   guint64 taken = 0;
--- a/tests/unit/en_fixture.h
+++ b/tests/unit/en_fixture.h
@@ -74,17 +74,17 @@
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (EnTestCaller, en_test_caller_clear)
 
 /** Submits a completion to service "chat" for workspace "w1". */
-guint64 en_fixture_ask (EnFixture *fixture,
-                        EnTestCaller *caller,
-                        const char *prompt,
-                        guint64 max_tokens,
-                        KnlTime limit);
+guint64 en_fixture_submit (EnFixture *fixture,
+                           EnTestCaller *caller,
+                           const char *prompt,
+                           guint64 max_tokens,
+                           KnlTime limit);
 
 /** TRUE if the caller has the complete, correct answer of `count` tokens to `prompt`. */
-gboolean en_test_caller_has (const EnTestCaller *caller, const char *prompt, guint64 count);
+gboolean en_test_caller_has_answer (const EnTestCaller *caller, const char *prompt, guint64 count);
 
 /** Number of runs that all engines have started. */
 guint en_fixture_runs (EnFixture *fixture);
 
 /** Memory in use on all engines, by their own state, plus what the entry counts as used there. */
-guint64 en_fixture_taken (EnFixture *fixture);
+guint64 en_fixture_in_use (EnFixture *fixture);
--- a/tests/unit/en_framing_test.c
+++ b/tests/unit/en_framing_test.c
@@ -90,7 +90,7 @@
                                        .max_queued = 100,
                                        .max_new_tokens = 1000,
                                        .max_limit = 60 * KNL_SEC,
-                                       .keep = KNL_SEC };
+                                       .entries_ttl = KNL_SEC };
   static const EnFrontSettings front = {
     .address = "127.0.0.1", .max_body = MAX_BODY, .max_headers = MAX_HEAD, .max_unread = 100000
   };
@@ -314,7 +314,7 @@
  * reset can overtake the answer.
  */
 static void
-test_refusal_beside_unread_bytes (void)
+test_refusal_with_unread_bytes (void)
 {
   g_autofree char *body = g_strnfill (3 << 20, 'x');
   g_autofree char *head = g_strdup_printf (
@@ -338,7 +338,7 @@
  * long prompt is sent a second late.
  */
 static void
-test_body_that_waits_for_leave (void)
+test_expect_continue (void)
 {
   g_autoptr (Site) site = site_new ();
 
@@ -373,8 +373,8 @@
 static const SuiteCase cases[] = {
   { "raw requests", test_rows },
   { "slow callers", test_slow_callers },
-  { "a refusal with unread bytes", test_refusal_beside_unread_bytes },
-  { "a body that waits for 100 Continue", test_body_that_waits_for_leave },
+  { "a refusal with unread bytes", test_refusal_with_unread_bytes },
+  { "a body that waits for 100 Continue", test_expect_continue },
   { "a half-closed connection", test_half_closed },
 };
 
--- a/tests/unit/en_front_test.c
+++ b/tests/unit/en_front_test.c
@@ -14,7 +14,7 @@
 #include "tests/unit/en_test_uplink.h"
 
 /* Ends a test that hangs. */
-#define GUARD (20 * KNL_SEC)
+#define HANG_TIMEOUT (20 * KNL_SEC)
 
 typedef struct
 {
@@ -108,7 +108,7 @@
                           .max_queued = 100,
                           .max_new_tokens = 1000,
                           .max_limit = 60 * KNL_SEC,
-                          .keep = KNL_SEC };
+                          .entries_ttl = KNL_SEC };
   EnFrontSettings front = { .address = "127.0.0.1",
                             .operator_token = "op",
                             .max_body = 1000,
@@ -156,7 +156,7 @@
 static gboolean
 run_until (Site *site, const GString *got, const char *text, const guint *count)
 {
-  KnlTime until = knl_kernel_now (site->kernel) + GUARD;
+  KnlTime until = knl_kernel_now (site->kernel) + HANG_TIMEOUT;
 
   while (knl_kernel_now (site->kernel) < until)
     {
@@ -202,7 +202,7 @@
 #define POST         "POST /v1/completions"
 #define AUTH         " HTTP/1.1\r\nAuthorization: Bearer t1\r\nX: x"
 #define WITH(header) POST " HTTP/1.1\r\n" header "\r\nAuthorization: Bearer t1\r\nX: x"
-#define QUESTION     "{\"service\":\"chat\",\"prompt\":\"p\",\"max_tokens\":3}"
+#define COMPLETION   "{\"service\":\"chat\",\"prompt\":\"p\",\"max_tokens\":3}"
 #define AS_OBJECT    "{\"service\":\"chat\",\"prompt\":\"p\",\"max_tokens\":3,\"stream\":false}"
 
 #define ACCEPTED "{\"request\":\"R\",\"accepted\":true}\n"
@@ -219,16 +219,16 @@
 } AnswerCase;
 
 static const AnswerCase answer_cases[] = {
-  { "stream", POST AUTH, QUESTION, "event: done\ndata: {\"request\":\"e1~7~1\",\"count\":3" },
+  { "stream", POST AUTH, COMPLETION, "event: done\ndata: {\"request\":\"e1~7~1\",\"count\":3" },
   { "object", POST AUTH, AS_OBJECT, "\"text\":\"a b c \"" },
-  { "no token", POST, QUESTION, " 401 " },
+  { "no token", POST, COMPLETION, " 401 " },
   { "wrong token", "GET /v1/entries HTTP/1.1\r\nAuthorization: Bearer x\r\nX: x", "", " 401 " },
   { "entries", "GET /v1/entries", "", "\"keep_ms\":1000" },
   { "no JSON", POST AUTH, "{", " 400 " },
   { "no prompt", POST AUTH, "{\"service\":\"chat\",\"max_tokens\":3}", "prompt must be" },
-  { "bad limit", WITH ("Alderturn-Timeout-Ms: 0"), QUESTION, "Alderturn-Timeout-Ms must" },
-  { "bad mark", WITH ("Alderturn-Idempotent: no"), QUESTION, "must be true or false" },
-  { "no key", WITH ("Alderturn-Idempotent: false"), QUESTION, "needs an Idempotency-Key" },
+  { "bad limit", WITH ("Alderturn-Timeout-Ms: 0"), COMPLETION, "Alderturn-Timeout-Ms must" },
+  { "bad mark", WITH ("Alderturn-Idempotent: no"), COMPLETION, "must be true or false" },
+  { "no key", WITH ("Alderturn-Idempotent: false"), COMPLETION, "needs an Idempotency-Key" },
   { "no path", "GET /nowhere", "", " 404 " },
   { "wrong method", "GET /v1/completions", "", "no such method" },
   { "no operator", "GET /v1/operator/requests" AUTH, "", " 401 " },
@@ -273,7 +273,7 @@
  * doesn't notice the close.
  */
 static void
-test_a_caller_that_leaves (void)
+test_caller_disconnects (void)
 {
   g_autoptr (GString) got = g_string_new (NULL);
   struct bufferevent *stream;
@@ -282,7 +282,7 @@
   g_autoptr (Site) site = site_new ();
 
   stream = caller_connect (site, got);
-  ask (stream, POST AUTH, QUESTION);
+  ask (stream, POST AUTH, COMPLETION);
   while (begun == 0)
     {
       const GPtrArray *endpoints = en_fleet_endpoints (en_core_fleet (site->core));
@@ -303,7 +303,7 @@
  * was being written.
  */
 static void
-test_a_caller_that_does_not_wait (void)
+test_pipelined_requests (void)
 {
   g_autoptr (GString) got = g_string_new (NULL);
   struct bufferevent *stream;
@@ -311,7 +311,7 @@
 
   site->script = ACCEPTED AB C END;
   stream = caller_connect (site, got);
-  ask (stream, POST AUTH, QUESTION);
+  ask (stream, POST AUTH, COMPLETION);
   while (en_front_open_answers (site->front) == 0)
     event_base_loop (site->base, EVLOOP_ONCE);
   ask (stream, POST AUTH, AS_OBJECT);
@@ -353,7 +353,7 @@
   guint ended;
   EpFailure failure;
   guint64 tokens;
-} Heard;
+} StreamResult;
 
 static void
 on_accepted (EpStream *stream, gpointer data)
@@ -363,20 +363,20 @@
 static void
 on_tokens (EpStream *stream, guint64 offset, guint count, const char *text, gpointer data)
 {
-  ((Heard *)data)->tokens += count;
+  ((StreamResult *)data)->tokens += count;
 }
 
 static void
 on_end (EpStream *stream, guint64 count, const char *finish, gpointer data)
 {
-  ((Heard *)data)->ended = 100;
+  ((StreamResult *)data)->ended = 100;
 }
 
 static void
 on_failed (EpStream *stream, const EpFailure *failure, gpointer data)
 {
-  ((Heard *)data)->failure = *failure;
-  ((Heard *)data)->ended++;
+  ((StreamResult *)data)->failure = *failure;
+  ((StreamResult *)data)->ended++;
 }
 
 static const EpStreamEvents stream_events = { on_accepted, on_tokens, on_end, on_failed };
@@ -391,38 +391,38 @@
 {
   for (guint i = 0; i <= G_N_ELEMENTS (stream_cases); i++)
     {
-      static const StreamCase nobody = { "no listener", 0, NULL, EP_NOT_SENT, FALSE, 0 };
-      const StreamCase *c = i < G_N_ELEMENTS (stream_cases) ? &stream_cases[i] : &nobody;
-      Heard heard = { 0 };
+      static const StreamCase no_listener = { "no listener", 0, NULL, EP_NOT_SENT, FALSE, 0 };
+      const StreamCase *c = i < G_N_ELEMENTS (stream_cases) ? &stream_cases[i] : &no_listener;
+      StreamResult result = { 0 };
       EpGenerate generate = { .request = "R~1~1",
                               .model = "m",
                               .prompt = "p",
                               .prompt_bytes = 1,
-                              .connect_limit = GUARD,
+                              .connect_limit = HANG_TIMEOUT,
                               .first_limit = 100 * KNL_MSEC,
-                              .idle_limit = GUARD };
+                              .idle_limit = HANG_TIMEOUT };
       g_autoptr (Site) site = site_new ();
 
       site->script = c->script;
       site->engine_status = c->status;
       generate.address = c->status != 0 ? site->engine_address : "127.0.0.1:1";
-      generate.first_limit = c->script == NULL ? 100 * KNL_MSEC : GUARD;
-      ep_client_generate (site->client, &generate, &stream_events, &heard);
-      CU_ASSERT_EQUAL (heard.ended, 0);
-      CU_ASSERT_TRUE (run_until (site, NULL, NULL, &heard.ended));
-      if (heard.failure.kind != c->kind || heard.ended != 1)
-        printf ("\n  %s: kind %d, ended %u", c->name, heard.failure.kind, heard.ended);
-      CU_ASSERT_EQUAL (heard.ended, 1);
-      CU_ASSERT_EQUAL (heard.failure.kind, c->kind);
-      CU_ASSERT_EQUAL (heard.failure.leaving, c->leaving);
-      CU_ASSERT_EQUAL (heard.tokens, c->tokens);
+      generate.first_limit = c->script == NULL ? 100 * KNL_MSEC : HANG_TIMEOUT;
+      ep_client_generate (site->client, &generate, &stream_events, &result);
+      CU_ASSERT_EQUAL (result.ended, 0);
+      CU_ASSERT_TRUE (run_until (site, NULL, NULL, &result.ended));
+      if (result.failure.kind != c->kind || result.ended != 1)
+        printf ("\n  %s: kind %d, ended %u", c->name, result.failure.kind, result.ended);
+      CU_ASSERT_EQUAL (result.ended, 1);
+      CU_ASSERT_EQUAL (result.failure.kind, c->kind);
+      CU_ASSERT_EQUAL (result.failure.leaving, c->leaving);
+      CU_ASSERT_EQUAL (result.tokens, c->tokens);
     }
 }
 
 static const SuiteCase cases[] = {
   { "answers by HTTP", test_answers },
-  { "a disconnect of the caller is noticed", test_a_caller_that_leaves },
-  { "a caller that does not wait for its answer", test_a_caller_that_does_not_wait },
+  { "a disconnect of the caller is noticed", test_caller_disconnects },
+  { "a caller that does not wait for its answer", test_pipelined_requests },
   { "an engine's streams that fail", test_streams_that_fail },
 };
 
--- a/tests/unit/en_once_test.c
+++ b/tests/unit/en_once_test.c
@@ -97,7 +97,7 @@
   FkConnectionFault connection;
   SdServiceFault service;
   Alderturn__IdemState state;
-  guint most_runs;
+  guint max_runs;
   gboolean done;
 } EndpointCase;
 
@@ -135,7 +135,7 @@
         printf ("\n  %s: state %d", c->name, fixture->uplink.last_state);
       CU_ASSERT_EQUAL (fixture->uplink.last_state, c->state);
       CU_ASSERT_EQUAL (fixture->caller.done, c->done);
-      CU_ASSERT_TRUE (runs_of (fixture, "k") <= c->most_runs);
+      CU_ASSERT_TRUE (runs_of (fixture, "k") <= c->max_runs);
       CU_ASSERT_EQUAL (fixture->uplink.begins, 1);
     }
 }
@@ -154,7 +154,7 @@
   number = confirm (fixture, &fixture->caller, "k");
   while (runs_of (fixture, "k") == 0)
     en_fixture_advance (fixture, KNL_MSEC);
-  en_core_caller_gone (fixture->core, number);
+  en_core_caller_disconnected (fixture->core, number);
   en_fixture_advance (fixture, 10 * KNL_SEC);
   CU_ASSERT_EQUAL (fixture->caller.ended, 0);
   CU_ASSERT_EQUAL (fixture->uplink.last_state, ALDERTURN__IDEM_STATE__IDEM_STATE_DONE);
@@ -167,7 +167,7 @@
  * only for a limited time.
  */
 static void
-test_an_answer_does_not_wait_for_good_for_its_record (void)
+test_an_answer_waits_a_limited_time_for_its_record (void)
 {
   g_autoptr (EnFixture) fixture = en_fixture_new (NULL);
 
@@ -184,7 +184,7 @@
 
 /* The complete answer of a stream that may run once is stored with its record and replayed. */
 static void
-test_a_stream_is_kept_and_given_again (void)
+test_a_stream_answer_is_replayed (void)
 {
   const char *prompt = "press 300 copies of side B";
   EnSubmission submission = {
@@ -198,16 +198,16 @@
     .max_tokens = 20,
   };
   g_autoptr (EnFixture) fixture = en_fixture_new (NULL);
-  g_auto (EnTestCaller) again = en_test_caller_make (fixture->kernel);
+  g_auto (EnTestCaller) resubmitted = en_test_caller_make (fixture->kernel);
 
   en_core_submit (fixture->core, &submission, &fixture->caller.base);
   CU_ASSERT_TRUE (en_fixture_wait (fixture, &fixture->caller, LIMIT));
-  CU_ASSERT_TRUE (en_test_caller_has (&fixture->caller, prompt, 20));
+  CU_ASSERT_TRUE (en_test_caller_has_answer (&fixture->caller, prompt, 20));
   fixture->uplink.verdict = ALDERTURN__IDEM_VERDICT__IDEM_VERDICT_DONE;
   fixture->uplink.stored = fixture->uplink.last_body->str;
-  en_core_submit (fixture->core, &submission, &again.base);
-  CU_ASSERT_TRUE (en_fixture_wait (fixture, &again, LIMIT));
-  CU_ASSERT_TRUE (en_test_caller_has (&again, prompt, 20));
+  en_core_submit (fixture->core, &submission, &resubmitted.base);
+  CU_ASSERT_TRUE (en_fixture_wait (fixture, &resubmitted, LIMIT));
+  CU_ASSERT_TRUE (en_test_caller_has_answer (&resubmitted, prompt, 20));
   CU_ASSERT_EQUAL (en_fixture_runs (fixture), 1);
 }
 
@@ -240,7 +240,7 @@
         }
       en_fixture_advance (fixture, KNL_SEC / 30);
       /* Simulates that there is always another endpoint that hasn't failed yet. */
-      en_endpoint_worked (en_fleet_find (en_core_fleet (fixture->core), "app-1"));
+      en_endpoint_note_success (en_fleet_find (en_core_fleet (fixture->core), "app-1"));
     }
   en_fixture_advance (fixture, LIMIT);
   for (guint i = 0; i < CALLS; i++)
@@ -254,14 +254,14 @@
 }
 
 static void
-crash_all_on (EnFixture *fixture, const char *text)
+set_crash_text (EnFixture *fixture, const char *text)
 {
   for (guint e = 0; e < EN_FIXTURE_ENGINES; e++)
     sd_engine_set_crash (fk_fleet_engine (fixture->fleet, en_fixture_engine (e)), text);
 }
 
 static guint
-count_down (EnFixture *fixture)
+count_crashed_engines (EnFixture *fixture)
 {
   guint down = 0;
 
@@ -276,35 +276,35 @@
  * must be attributed to the prompt.
  */
 static void
-test_a_killing_request_is_quarantined (void)
+test_a_crashing_request_is_quarantined (void)
 {
-  const char *innocent = "which streets are closed tonight?";
-  const char *guilty = "lacquer list KILLS this engine";
+  const char *harmless_prompt = "which streets are closed tonight?";
+  const char *crashing_prompt = "lacquer list KILLS this engine";
   g_autoptr (EnFixture) fixture = en_fixture_new (NULL);
-  g_auto (EnTestCaller) beside = en_test_caller_make (fixture->kernel);
-  g_auto (EnTestCaller) again = en_test_caller_make (fixture->kernel);
+  g_auto (EnTestCaller) bystander = en_test_caller_make (fixture->kernel);
+  g_auto (EnTestCaller) resubmitted = en_test_caller_make (fixture->kernel);
 
-  crash_all_on (fixture, "KILLS");
+  set_crash_text (fixture, "KILLS");
   fk_fleet_crash (fixture->fleet, en_fixture_engine (0));
   fk_fleet_crash (fixture->fleet, en_fixture_engine (1));
-  en_fixture_ask (fixture, &beside, innocent, 400, 60 * KNL_SEC);
-  while (beside.tokens == 0)
+  en_fixture_submit (fixture, &bystander, harmless_prompt, 400, 60 * KNL_SEC);
+  while (bystander.tokens == 0)
     en_fixture_advance (fixture, 10 * KNL_MSEC);
-  en_fixture_ask (fixture, &fixture->caller, guilty, 10, 60 * KNL_SEC);
+  en_fixture_submit (fixture, &fixture->caller, crashing_prompt, 10, 60 * KNL_SEC);
   en_fixture_advance (fixture, 2 * KNL_SEC);
-  CU_ASSERT_EQUAL (count_down (fixture), 3);
+  CU_ASSERT_EQUAL (count_crashed_engines (fixture), 3);
   for (guint e = 0; e < EN_FIXTURE_ENGINES; e++)
     fk_fleet_restart (fixture->fleet, en_fixture_engine (e));
-  crash_all_on (fixture, "KILLS");
+  set_crash_text (fixture, "KILLS");
   CU_ASSERT_TRUE (en_fixture_wait (fixture, &fixture->caller, 60 * KNL_SEC));
   CU_ASSERT_EQUAL (fixture->caller.code, EN_ERROR_QUARANTINED);
-  CU_ASSERT_TRUE (en_fixture_wait (fixture, &beside, 60 * KNL_SEC));
-  CU_ASSERT_TRUE (en_test_caller_has (&beside, innocent, 400));
-  CU_ASSERT_EQUAL (count_down (fixture), 1);
+  CU_ASSERT_TRUE (en_fixture_wait (fixture, &bystander, 60 * KNL_SEC));
+  CU_ASSERT_TRUE (en_test_caller_has_answer (&bystander, harmless_prompt, 400));
+  CU_ASSERT_EQUAL (count_crashed_engines (fixture), 1);
   CU_ASSERT_EQUAL (fixture->uplink.crashes->len, 3);
-  en_fixture_ask (fixture, &again, guilty, 10, 60 * KNL_SEC);
-  CU_ASSERT_EQUAL (again.code, EN_ERROR_QUARANTINED);
-  CU_ASSERT_EQUAL (again.outcome, EN_OUTCOME_NOT_RUN);
+  en_fixture_submit (fixture, &resubmitted, crashing_prompt, 10, 60 * KNL_SEC);
+  CU_ASSERT_EQUAL (resubmitted.code, EN_ERROR_QUARANTINED);
+  CU_ASSERT_EQUAL (resubmitted.outcome, EN_OUTCOME_NOT_RUN);
 }
 
 static const SuiteCase cases[] = {
@@ -312,11 +312,11 @@
   { "a call runs once whatever its endpoint does", test_endpoint_outcomes },
   { "a recorded request outlives its caller", test_recorded_request_outlives_its_caller },
   { "an answer waits for its record for a limited time",
-    test_an_answer_does_not_wait_for_good_for_its_record },
-  { "a stream's answer is stored and replayed", test_a_stream_is_kept_and_given_again },
+    test_an_answer_waits_a_limited_time_for_its_record },
+  { "a stream's answer is stored and replayed", test_a_stream_answer_is_replayed },
   { "retries keep to their budget", test_retries_keep_to_their_budget },
   { "a crashing request is quarantined and concurrent ones are answered",
-    test_a_killing_request_is_quarantined },
+    test_a_crashing_request_is_quarantined },
 };
 
 SUITE_MAIN ("en_once", cases)
--- a/tests/unit/en_policy_test.c
+++ b/tests/unit/en_policy_test.c
@@ -70,7 +70,11 @@
 }
 
 static EnRequest *
-waiting (Policy *policy, const char *workspace, guint64 tokens, gboolean is_long, KnlTime deadline)
+push_request (Policy *policy,
+              const char *workspace,
+              guint64 tokens,
+              gboolean is_long,
+              KnlTime deadline)
 {
   static guint64 number;
   EnRequest *request = en_request_new (NULL, ++number, "r", 0);
@@ -86,24 +90,24 @@
 typedef struct
 {
   Policy *policy;
-  guint64 room;     /* tokens of free capacity */
-  guint64 most;     /* limit for one request */
-  GString *order;   /* first letter of each workspace dispatched */
-  gboolean no_long; /* accepts no long requests */
+  guint64 free_tokens;        /* tokens of free capacity */
+  guint64 max_request_tokens; /* limit for one request */
+  GString *order;             /* first letter of each workspace dispatched */
+  gboolean rejects_long;      /* accepts no long requests */
 } Server;
 
 static gboolean
-serve (EnRequest *request, gpointer data)
+try_serve (EnRequest *request, gpointer data)
 {
   Server *server = data;
 
-  if (request->need.tokens > MIN (server->room, server->most)
-      || (server->no_long && request->need.is_long))
+  if (request->need.tokens > MIN (server->free_tokens, server->max_request_tokens)
+      || (server->rejects_long && request->need.is_long))
     return FALSE;
-  server->room -= request->need.tokens;
+  server->free_tokens -= request->need.tokens;
   g_string_append_c (server->order, request->need.is_long ? g_ascii_toupper (request->workspace[0])
                                                           : request->workspace[0]);
-  en_shares_served (server->policy->shares, request->workspace, request->need.tokens);
+  en_shares_note_dispatched (server->policy->shares, request->workspace, request->need.tokens);
   en_queue_remove (server->policy->queue, request);
   en_request_free (request);
   return TRUE;
@@ -113,7 +117,7 @@
 {
   const char *name;
   gint64 weight_a;
-  guint64 told_a; /* workspace a's use over all entries in an update; 0: no update */
+  guint64 reported_a; /* workspace a's use over all entries in an update; 0: no update */
   const char *order;
 } FairCase;
 
@@ -135,7 +139,7 @@
     {
       const FairCase *c = &fair_cases[i];
       g_auto (Policy) policy = policy_new ();
-      Server server = { .policy = &policy, .room = 10000, .most = 10000 };
+      Server server = { .policy = &policy, .free_tokens = 10000, .max_request_tokens = 10000 };
       Alderturn__ShareUpdate update = ALDERTURN__SHARE_UPDATE__INIT;
       Alderturn__ShareUpdate__Share share = ALDERTURN__SHARE_UPDATE__SHARE__INIT;
       Alderturn__ShareUpdate__Share *shares[] = { &share };
@@ -143,16 +147,16 @@
       server.order = g_string_new (NULL);
       en_shares_set_weight (policy.shares, "a", c->weight_a);
       share.workspace = "a";
-      share.served_tokens = c->told_a;
+      share.served_tokens = c->reported_a;
       update.n_shares = 1;
       update.shares = shares;
-      if (c->told_a > 0)
+      if (c->reported_a > 0)
         en_shares_apply (policy.shares, &update);
       for (guint r = 0; r < 7; r++)
-        waiting (&policy, "a", 1000, FALSE, r);
+        push_request (&policy, "a", 1000, FALSE, r);
       for (guint r = 0; r < 3; r++)
-        waiting (&policy, "b", 1000, FALSE, r);
-      en_queue_run (policy.queue, serve, &server);
+        push_request (&policy, "b", 1000, FALSE, r);
+      en_queue_run (policy.queue, try_serve, &server);
       if (strcmp (server.order->str, c->order) != 0)
         printf ("\n  %s: %s", c->name, server.order->str);
       CU_ASSERT_STRING_EQUAL (server.order->str, c->order);
@@ -169,20 +173,22 @@
 test_short_requests_pass_long_ones (void)
 {
   g_auto (Policy) policy = policy_new ();
-  Server server = { .policy = &policy, .room = 10000, .most = 1000, .no_long = TRUE };
+  Server server = {
+    .policy = &policy, .free_tokens = 10000, .max_request_tokens = 1000, .rejects_long = TRUE
+  };
 
   server.order = g_string_new (NULL);
-  waiting (&policy, "x", 500, TRUE, 1);
-  waiting (&policy, "a", 5000, FALSE, 2);
-  waiting (&policy, "a", 100, FALSE, 3);
-  waiting (&policy, "b", 100, FALSE, 4);
-  en_queue_run (policy.queue, serve, &server);
+  push_request (&policy, "x", 500, TRUE, 1);
+  push_request (&policy, "a", 5000, FALSE, 2);
+  push_request (&policy, "a", 100, FALSE, 3);
+  push_request (&policy, "b", 100, FALSE, 4);
+  en_queue_run (policy.queue, try_serve, &server);
   CU_ASSERT_STRING_EQUAL (server.order->str, "ab");
   CU_ASSERT_EQUAL (en_queue_waiting (policy.queue, "chat", EN_LANE_SHORT).tokens, 5000);
   CU_ASSERT_EQUAL (en_queue_waiting (policy.queue, "chat", EN_LANE_LONG).count, 1);
-  server.most = 10000;
-  server.no_long = FALSE;
-  en_queue_run (policy.queue, serve, &server);
+  server.max_request_tokens = 10000;
+  server.rejects_long = FALSE;
+  en_queue_run (policy.queue, try_serve, &server);
   CU_ASSERT_STRING_EQUAL (server.order->str, "abaX");
   g_string_free (server.order, TRUE);
 }
@@ -193,8 +199,8 @@
   guint64 fence;
   guint64 call; /* number of the credit request that it answers: 1 or 2 */
   guint ttl_ms;
-  KnlTime after; /* time from its arrival to the check */
-  guint64 room;  /* expected free tokens, at most 100 */
+  KnlTime after;       /* time from its arrival to the check */
+  guint64 free_tokens; /* expected free tokens, at most 100 */
 } GrantCase;
 
 /*
@@ -236,16 +242,16 @@
 }
 
 static guint64
-room_of (Policy *policy, const EnEndpoint *engine)
+free_tokens_of (Policy *policy, const EnEndpoint *engine)
 {
-  guint64 room = 0;
+  guint64 free_tokens = 0;
 
   for (EnNeed need = { .tokens = 10 }; need.tokens <= 200; need.tokens += 10)
     {
-      if (en_credits_has_room (policy->credits, engine, &need))
-        room = need.tokens;
+      if (en_credits_has_capacity (policy->credits, engine, &need))
+        free_tokens = need.tokens;
     }
-  return room;
+  return free_tokens;
 }
 
 static void
@@ -265,9 +271,9 @@
       knl_paused_clock_advance (policy.clock, 100 * KNL_MSEC);
       apply_grant (&policy, c->call, 60, c->fence, c->ttl_ms);
       knl_paused_clock_advance (policy.clock, c->after);
-      if (room_of (&policy, engine) != c->room)
-        printf ("\n  %s: %d", c->name, (int)room_of (&policy, engine));
-      CU_ASSERT_EQUAL (room_of (&policy, engine), c->room);
+      if (free_tokens_of (&policy, engine) != c->free_tokens)
+        printf ("\n  %s: %d", c->name, (int)free_tokens_of (&policy, engine));
+      CU_ASSERT_EQUAL (free_tokens_of (&policy, engine), c->free_tokens);
     }
 }
 
@@ -298,14 +304,14 @@
         }
       name[1] = (char)('0' + entry);
       credits = en_credits_new (policy.kernel, policy.fleet, name);
-      en_credits_saw_capacity (engine, 9000, 36);
+      en_credits_note_capacity (engine, 9000, 36);
       need.tokens = 1;
       /* The previous holder's grants to other entries may still be in force. */
-      CU_ASSERT_FALSE (en_credits_has_room (credits, engine, &need));
+      CU_ASSERT_FALSE (en_credits_has_capacity (credits, engine, &need));
       knl_paused_clock_advance (policy.clock, 3 * KNL_SEC);
-      CU_ASSERT_TRUE (en_credits_has_room (credits, engine, &need));
-      sum += en_credits_most (credits, engine);
-      owners += en_credits_owns_rest (credits, engine);
+      CU_ASSERT_TRUE (en_credits_has_capacity (credits, engine, &need));
+      sum += en_credits_max_tokens (credits, engine);
+      owners += en_credits_owns_undivided_half (credits, engine);
       en_credits_free (credits);
     }
   CU_ASSERT_EQUAL (owners, 1);
@@ -314,54 +320,54 @@
 
 typedef enum
 {
-  MAKE_NOTHING,
-  MAKE_BACKLOG,
-  MAKE_RECENT,
-  MAKE_FAILED,
-  MAKE_LEAVING,
-  MAKE_FULL,
-  MAKE_HELD,
-  MAKE_OTHER_ZONE,
-  MAKE_CACHED,
-} Make;
+  SETUP_IDLE,
+  SETUP_BACKLOG,
+  SETUP_RECENT,
+  SETUP_FAILED,
+  SETUP_LEAVING,
+  SETUP_FULL,
+  SETUP_HELD,
+  SETUP_OTHER_ZONE,
+  SETUP_CACHED,
+} EngineSetup;
 
 typedef struct
 {
   const char *name;
-  Make first; /* state of engine-1; engine-2 has a backlog of 1,000 tokens */
+  EngineSetup first; /* state of engine-1; engine-2 has a backlog of 1,000 tokens */
   const char *chosen;
 } ChoiceCase;
 
 static const ChoiceCase choice_cases[] = {
-  { "the one without a backlog", MAKE_NOTHING, "engine-1" },
-  { "not the one with more backlog", MAKE_BACKLOG, "engine-2" },
-  { "not the one that was just given more", MAKE_RECENT, "engine-2" },
-  { "not the one that just failed", MAKE_FAILED, "engine-2" },
-  { "not the one that is leaving", MAKE_LEAVING, "engine-2" },
-  { "not the one without room", MAKE_FULL, "engine-2" },
-  { "not the one kept for another", MAKE_HELD, "engine-2" },
-  { "another zone rather than a queue", MAKE_OTHER_ZONE, "engine-1" },
-  { "the prompt's cached part counts", MAKE_CACHED, "engine-1" },
+  { "the one without a backlog", SETUP_IDLE, "engine-1" },
+  { "not the one with more backlog", SETUP_BACKLOG, "engine-2" },
+  { "not the one that was just given more", SETUP_RECENT, "engine-2" },
+  { "not the one that just failed", SETUP_FAILED, "engine-2" },
+  { "not the one that is leaving", SETUP_LEAVING, "engine-2" },
+  { "not the one without room", SETUP_FULL, "engine-2" },
+  { "not the one kept for another", SETUP_HELD, "engine-2" },
+  { "another zone rather than a queue", SETUP_OTHER_ZONE, "engine-1" },
+  { "the prompt's cached part counts", SETUP_CACHED, "engine-1" },
 };
 
 static void
-make (Policy *policy, EnEndpoint *engine, Make what, guint64 block)
+set_up_engine (Policy *policy, EnEndpoint *engine, EngineSetup what, guint64 block)
 {
   KnlTime now = knl_kernel_now (policy->kernel);
 
   engine->grant = (EnGrant){ .tokens = 100000, .slots = 10, .expires = now + KNL_SEC };
-  engine->load.prefill_backlog = what == MAKE_BACKLOG ? 5000 : 0;
-  engine->recent_tokens = what == MAKE_RECENT ? 5000 : 0;
-  engine->held_for = what == MAKE_HELD ? 99 : 0;
-  if (what == MAKE_FAILED)
-    en_endpoint_failed (engine, now);
-  if (what == MAKE_LEAVING)
-    en_endpoint_leaves (engine, now);
-  if (what == MAKE_FULL)
+  engine->load.prefill_backlog = what == SETUP_BACKLOG ? 5000 : 0;
+  engine->recent_tokens = what == SETUP_RECENT ? 5000 : 0;
+  engine->held_for = what == SETUP_HELD ? 99 : 0;
+  if (what == SETUP_FAILED)
+    en_endpoint_note_failure (engine, now);
+  if (what == SETUP_LEAVING)
+    en_endpoint_note_leaving (engine, now);
+  if (what == SETUP_FULL)
     engine->used_tokens = 100000;
-  if (what == MAKE_OTHER_ZONE)
+  if (what == SETUP_OTHER_ZONE)
     engine->zone[0] = 'z';
-  if (what == MAKE_CACHED)
+  if (what == SETUP_CACHED)
     {
       engine->load.prefill_backlog = 3000;
       g_hash_table_add (engine->prefixes, g_memdup2 (&block, sizeof block));
@@ -387,8 +393,8 @@
       g_auto (Policy) policy = policy_new ();
 
       router = en_router_new ("credits", policy.kernel, policy.fleet, policy.credits);
-      make (&policy, add_engine (&policy, "engine-1"), c->first, block);
-      make (&policy, add_engine (&policy, "engine-2"), MAKE_NOTHING, block);
+      set_up_engine (&policy, add_engine (&policy, "engine-1"), c->first, block);
+      set_up_engine (&policy, add_engine (&policy, "engine-2"), SETUP_IDLE, block);
       en_fleet_find (policy.fleet, "engine-2")->load.prefill_backlog = 1000;
       route.now = knl_kernel_now (policy.kernel);
       chosen = en_router_choose (router, &route);
@@ -411,8 +417,8 @@
   g_auto (Policy) policy = policy_new ();
 
   router = en_router_new ("credits", policy.kernel, policy.fleet, policy.credits);
-  make (&policy, add_engine (&policy, "engine-1"), MAKE_NOTHING, 0);
-  make (&policy, add_engine (&policy, "engine-2"), MAKE_NOTHING, 0);
+  set_up_engine (&policy, add_engine (&policy, "engine-1"), SETUP_IDLE, 0);
+  set_up_engine (&policy, add_engine (&policy, "engine-2"), SETUP_IDLE, 0);
   first = en_fleet_find (policy.fleet, "engine-1");
   second = en_fleet_find (policy.fleet, "engine-2");
   first->role = EN_ROLE_SHORT;
@@ -433,7 +439,7 @@
  * queues, which know priorities but not workspaces; the flood must be detected and get a lower one.
  */
 static void
-test_a_flood_is_told_from_large_users (void)
+test_a_flood_is_distinguished_from_large_users (void)
 {
   static const struct
   {
@@ -455,16 +461,16 @@
       for (guint i = 0; i < G_N_ELEMENTS (names); i++)
         {
           for (guint n = 0; n < rows[r].requests[i]; n++)
-            en_shares_served (policy.shares, names[i], 1000);
+            en_shares_note_dispatched (policy.shares, names[i], 1000);
         }
-      CU_ASSERT_EQUAL (en_shares_floods (policy.shares, "a"), rows[r].floods);
+      CU_ASSERT_EQUAL (en_shares_is_flooding (policy.shares, "a"), rows[r].floods);
       knl_paused_clock_advance (policy.clock, 600 * KNL_SEC);
-      CU_ASSERT_FALSE (en_shares_floods (policy.shares, "a"));
+      CU_ASSERT_FALSE (en_shares_is_flooding (policy.shares, "a"));
     }
 }
 
 static const SuiteCase cases[] = {
-  { "a flood is distinguished from large users", test_a_flood_is_told_from_large_users },
+  { "a flood is distinguished from large users", test_a_flood_is_distinguished_from_large_users },
   { "workspaces share by weight over all entries", test_workspaces_share_by_weight },
   { "short requests pass long ones", test_short_requests_pass_long_ones },
   { "grants are taken in order and lapse", test_grants },
--- a/tests/unit/en_retry_test.c
+++ b/tests/unit/en_retry_test.c
@@ -84,12 +84,12 @@
       en_progress_init (&progress);
       en_replay_init (&first);
       en_replay_init (&second);
-      CU_ASSERT_TRUE (en_replay_take (&first, &progress, 3, "abc", &fresh, &count));
+      CU_ASSERT_TRUE (en_replay_add (&first, &progress, 3, "abc", &fresh, &count));
       g_string_append (got, fresh);
       for (guint p = 0; p < 4 && c->parts[p] != NULL && same; p++)
         {
-          same = en_replay_take (&second, &progress, (guint)strlen (c->parts[p]), c->parts[p],
-                                 &fresh, &count);
+          same = en_replay_add (&second, &progress, (guint)strlen (c->parts[p]), c->parts[p],
+                                &fresh, &count);
           if (same)
             g_string_append (got, fresh);
         }
--- a/tests/unit/en_test_uplink.c
+++ b/tests/unit/en_test_uplink.c
@@ -44,7 +44,7 @@
 }
 
 static void
-take_begin (EnTestUplink *self, const Alderturn__IdemBegin *begin)
+handle_begin (EnTestUplink *self, const Alderturn__IdemBegin *begin)
 {
   Alderturn__IdemReply reply = ALDERTURN__IDEM_REPLY__INIT;
 
@@ -62,7 +62,7 @@
 }
 
 static void
-take_finish (EnTestUplink *self, const Alderturn__IdemFinish *finish)
+handle_finish (EnTestUplink *self, const Alderturn__IdemFinish *finish)
 {
   Alderturn__IdemFinishReply reply = ALDERTURN__IDEM_FINISH_REPLY__INIT;
 
@@ -94,9 +94,9 @@
   if (frame->body_case == ALDERTURN__FRAME__BODY_CREDIT_REQUEST)
     grant_all (self, frame->credit_request);
   else if (frame->body_case == ALDERTURN__FRAME__BODY_IDEM_BEGIN)
-    take_begin (self, frame->idem_begin);
+    handle_begin (self, frame->idem_begin);
   else if (frame->body_case == ALDERTURN__FRAME__BODY_IDEM_FINISH)
-    take_finish (self, frame->idem_finish);
+    handle_finish (self, frame->idem_finish);
   alderturn__frame__free_unpacked (delivery->frame, NULL);
   g_free (delivery);
 }
--- a/tests/unit/en_uplink_test.c
+++ b/tests/unit/en_uplink_test.c
@@ -130,7 +130,7 @@
 
 /* Sends a frame; returns the index of the controller that received it, or -1. */
 static int
-reached (Site *site)
+receiver_of_frame (Site *site)
 {
   Alderturn__EntryStatus status = ALDERTURN__ENTRY_STATUS__INIT;
   guint before[] = { site->controllers[0].frames, site->controllers[1].frames };
@@ -177,15 +177,15 @@
     {
       g_autoptr (Site) site = site_new ();
 
-      CU_ASSERT_EQUAL (reached (site), 0);
+      CU_ASSERT_EQUAL (receiver_of_frame (site), 0);
       lose_local (site, losses[i], TRUE);
       knl_paused_clock_advance (site->clock, 20 * KNL_SEC);
       CU_ASSERT_TRUE (en_uplink_is_up (site->uplink));
-      CU_ASSERT_EQUAL (reached (site), losses[i] == LOSE_FROZEN ? 0 : 1);
+      CU_ASSERT_EQUAL (receiver_of_frame (site), losses[i] == LOSE_FROZEN ? 0 : 1);
       CU_ASSERT_TRUE (site->downs >= 1);
       lose_local (site, losses[i], FALSE);
       knl_paused_clock_advance (site->clock, 20 * KNL_SEC);
-      CU_ASSERT_EQUAL (reached (site), 0);
+      CU_ASSERT_EQUAL (receiver_of_frame (site), 0);
       CU_ASSERT_TRUE (site->ups >= 2);
     }
 }
--- a/tests/unit/kernel_test.c
+++ b/tests/unit/kernel_test.c
@@ -132,19 +132,19 @@
   Mark mark;
   KnlKernel *kernel;
   KnlJobId id;
-  guint left;
+  guint slices_left;
   gboolean stops_itself;
-} Slices;
+} SliceJob;
 
 static gboolean
 take_slice (gpointer data)
 {
-  Slices *self = data;
+  SliceJob *self = data;
 
   append_mark (&self->mark);
   if (self->stops_itself)
     knl_job_stop (self->kernel, &self->id);
-  return --self->left > 0;
+  return --self->slices_left > 0;
 }
 
 /*
@@ -153,14 +153,14 @@
  * iteration of the loop, sockets and timers still wait for all of them.
  */
 static void
-test_jobs_take_one_slice_a_turn (void)
+test_jobs_run_one_slice_per_iteration (void)
 {
   g_autoptr (KnlPausedClock) clock = knl_paused_clock_new ();
   g_autoptr (KnlKernel) kernel = knl_kernel_new (knl_paused_clock_runtime (clock), 1);
   g_autoptr (GString) text = g_string_new (NULL);
   Mark timer = { text, 't' };
-  Slices first = { .mark = { text, 'a' }, .kernel = kernel, .left = 3 };
-  Slices second = { .mark = { text, 'b' }, .kernel = kernel, .left = 2 };
+  SliceJob first = { .mark = { text, 'a' }, .kernel = kernel, .slices_left = 3 };
+  SliceJob second = { .mark = { text, 'b' }, .kernel = kernel, .slices_left = 2 };
 
   first.id = knl_job_start (kernel, take_slice, &first);
   second.id = knl_job_start (kernel, take_slice, &second);
@@ -179,21 +179,23 @@
   g_autoptr (KnlPausedClock) clock = knl_paused_clock_new ();
   g_autoptr (KnlKernel) kernel = knl_kernel_new (knl_paused_clock_runtime (clock), 1);
   g_autoptr (GString) text = g_string_new (NULL);
-  Slices own = { .mark = { text, 'a' }, .kernel = kernel, .left = 3, .stops_itself = TRUE };
-  Slices other = { .mark = { text, 'b' }, .kernel = kernel, .left = 3 };
-  Slices rest = { .mark = { text, 'c' }, .kernel = kernel, .left = 9 };
+  SliceJob self_stopping = {
+    .mark = { text, 'a' }, .kernel = kernel, .slices_left = 3, .stops_itself = TRUE
+  };
+  SliceJob other = { .mark = { text, 'b' }, .kernel = kernel, .slices_left = 3 };
+  SliceJob unfinished = { .mark = { text, 'c' }, .kernel = kernel, .slices_left = 9 };
 
-  own.id = knl_job_start (kernel, take_slice, &own);
+  self_stopping.id = knl_job_start (kernel, take_slice, &self_stopping);
   other.id = knl_job_start (kernel, take_slice, &other);
   knl_kernel_run_due (kernel);
   knl_kernel_run_due (kernel);
   CU_ASSERT_STRING_EQUAL (text->str, "ab");
   knl_job_stop (kernel, &other.id);
-  CU_ASSERT_EQUAL (own.id, 0);
+  CU_ASSERT_EQUAL (self_stopping.id, 0);
   knl_paused_clock_advance (clock, KNL_SEC);
   CU_ASSERT_STRING_EQUAL (text->str, "ab");
   /* A job that isn't done is freed with its kernel. */
-  rest.id = knl_job_start (kernel, take_slice, &rest);
+  unfinished.id = knl_job_start (kernel, take_slice, &unfinished);
 }
 
 static void
@@ -203,19 +205,19 @@
 }
 
 static void
-note_turn (const char *name, KnlTime took, gpointer data)
+record_callback (const char *name, KnlTime duration, gpointer data)
 {
-  g_string_append_printf (data, "%s %d;", strrchr (name, ':'), (int)(took / KNL_MSEC));
+  g_string_append_printf (data, "%s %d;", strrchr (name, ':'), (int)(duration / KNL_MSEC));
 }
 
 static void
-test_the_meter_names_who_took_how_long (void)
+test_meter_reports_names_and_durations (void)
 {
   g_autoptr (KnlPausedClock) clock = knl_paused_clock_new ();
   g_autoptr (KnlKernel) kernel = knl_kernel_new (knl_paused_clock_runtime (clock), 1);
   g_autoptr (GString) text = g_string_new (NULL);
 
-  knl_kernel_set_meter (kernel, note_turn, text);
+  knl_kernel_set_meter (kernel, record_callback, text);
   knl_timer_start (kernel, KNL_MSEC, take_time, clock);
   knl_paused_clock_advance (clock, KNL_MSEC);
   CU_ASSERT_STRING_EQUAL (text->str, ":take_time 5;");
@@ -228,10 +230,10 @@
     test_a_stopped_task_gets_no_more_messages_and_loses_its_name },
   { "a frozen kernel runs late and sees the time that passed",
     test_a_frozen_kernel_runs_late_and_sees_the_time_that_passed },
-  { "jobs run one slice per loop iteration", test_jobs_take_one_slice_a_turn },
+  { "jobs run one slice per loop iteration", test_jobs_run_one_slice_per_iteration },
   { "jobs that are stopped", test_jobs_that_are_stopped },
   { "the meter reports the name and duration of a callback",
-    test_the_meter_names_who_took_how_long },
+    test_meter_reports_names_and_durations },
 };
 
 SUITE_MAIN ("kernel", cases)
--- a/tests/unit/member_test.c
+++ b/tests/unit/member_test.c
@@ -15,16 +15,16 @@
 #define ENGINE     ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENGINE
 
 static KnlTime
-agree (FkCluster *cluster,
-       Alderturn__MemberKind kind,
-       const char *name,
-       Alderturn__MemberState state,
-       KnlTime limit)
+assert_state_reached (FkCluster *cluster,
+                      Alderturn__MemberKind kind,
+                      const char *name,
+                      Alderturn__MemberState state,
+                      KnlTime limit)
 {
-  KnlTime taken = fk_cluster_agree (cluster, kind, name, state, limit);
+  KnlTime elapsed = fk_cluster_agree (cluster, kind, name, state, limit);
 
-  CU_ASSERT_TRUE (taken >= 0);
-  return taken;
+  CU_ASSERT_TRUE (elapsed >= 0);
+  return elapsed;
 }
 
 /*
@@ -39,12 +39,12 @@
 
   knl_paused_clock_advance (cluster->clock, 5 * KNL_SEC);
   fk_node_stop (&cluster->nodes[4]);
-  agree (cluster, CONTROLLER, "c4", DEAD, 30 * KNL_SEC);
+  assert_state_reached (cluster, CONTROLLER, "c4", DEAD, 30 * KNL_SEC);
   for (guint i = 0; i < 9; i++)
     CU_ASSERT_EQUAL (fk_node_state (&cluster->nodes[0], CONTROLLER, cluster->nodes[i].name),
                      i == 4 ? DEAD : LIVE);
   fk_node_start (&cluster->nodes[4], 1000);
-  agree (cluster, CONTROLLER, "c4", LIVE, 10 * KNL_SEC);
+  assert_state_reached (cluster, CONTROLLER, "c4", LIVE, 10 * KNL_SEC);
 }
 
 /*
@@ -53,15 +53,15 @@
  * so that it starts with a lower incarnation.
  */
 static void
-test_a_successor_with_an_older_clock_is_taken (void)
+test_a_successor_with_an_older_clock_is_accepted (void)
 {
   g_autoptr (FkCluster) cluster = fk_cluster_new (5);
 
   knl_paused_clock_advance (cluster->clock, 5 * KNL_SEC);
   fk_node_stop (&cluster->nodes[1]);
-  agree (cluster, CONTROLLER, "c1", DEAD, 30 * KNL_SEC);
+  assert_state_reached (cluster, CONTROLLER, "c1", DEAD, 30 * KNL_SEC);
   fk_node_start (&cluster->nodes[1], 3);
-  agree (cluster, CONTROLLER, "c1", LIVE, 30 * KNL_SEC);
+  assert_state_reached (cluster, CONTROLLER, "c1", LIVE, 30 * KNL_SEC);
   CU_ASSERT_TRUE (co_members_self (cluster->nodes[1].members)->incarnation > 101);
 }
 
@@ -71,7 +71,7 @@
  * five controllers, while all other network paths work.
  */
 static void
-test_one_broken_path_kills_nobody (void)
+test_one_broken_path_makes_no_member_dead (void)
 {
   g_autoptr (FkCluster) cluster = fk_cluster_new (5);
 
@@ -102,7 +102,7 @@
  * dead meanwhile.
  */
 static void
-test_a_stopped_controller_comes_back_and_blames_nobody (void)
+test_a_stopped_controller_resumes_and_suspects_no_other (void)
 {
   g_autoptr (FkCluster) cluster = fk_cluster_new (5);
 
@@ -130,7 +130,7 @@
  * has passed when the first one resumes.
  */
 static void
-test_a_suspicion_waits_for_one_who_could_not_hear (void)
+test_a_suspicion_is_extended_for_a_stopped_controller (void)
 {
   g_autoptr (FkCluster) cluster = fk_cluster_new (5);
 
@@ -176,7 +176,7 @@
       knl_paused_clock_advance_until (cluster->clock, 60 * KNL_SEC, fk_cluster_all_live, cluster));
   printf ("[healed in %.1f s] ",
           (double)(knl_paused_clock_now (cluster->clock) - start) / (double)KNL_SEC);
-  agree (cluster, ENGINE, "e1", LEAVING, 30 * KNL_SEC);
+  assert_state_reached (cluster, ENGINE, "e1", LEAVING, 30 * KNL_SEC);
 }
 
 /*
@@ -190,19 +190,19 @@
   g_autoptr (FkCluster) cluster = fk_cluster_new (50);
   Alderturn__Member engine = fk_member (ENGINE, "e1", 0);
   Alderturn__Member *list[] = { &engine };
-  KnlTime taken;
+  KnlTime elapsed;
 
   for (guint i = 0; i < 50; i++)
     co_members_seed (cluster->nodes[i].members, list, 1);
   knl_paused_clock_advance (cluster->clock, 20 * KNL_SEC);
   co_members_mark_leaving (cluster->nodes[7].members, ENGINE, "e1");
-  taken = agree (cluster, ENGINE, "e1", LEAVING, 2 * KNL_SEC);
-  printf ("[engine %.2f s, ", (double)taken / (double)KNL_SEC);
+  elapsed = assert_state_reached (cluster, ENGINE, "e1", LEAVING, 2 * KNL_SEC);
+  printf ("[engine %.2f s, ", (double)elapsed / (double)KNL_SEC);
   co_members_leave (cluster->nodes[3].members);
-  taken = agree (cluster, CONTROLLER, "c3", LEAVING, 2 * KNL_SEC);
-  printf ("controller %.2f s] ", (double)taken / (double)KNL_SEC);
+  elapsed = assert_state_reached (cluster, CONTROLLER, "c3", LEAVING, 2 * KNL_SEC);
+  printf ("controller %.2f s] ", (double)elapsed / (double)KNL_SEC);
   fk_node_stop (&cluster->nodes[3]);
-  agree (cluster, CONTROLLER, "c3", DEAD, 30 * KNL_SEC);
+  assert_state_reached (cluster, CONTROLLER, "c3", DEAD, 30 * KNL_SEC);
 }
 
 /** Frames and bytes per second that each of `count` members sends when nothing changes. */
@@ -235,19 +235,19 @@
 /* Entries */
 
 static void
-test_an_entry_follows_those_who_vouch_for_it (void)
+test_an_entry_follows_the_controllers_that_vouch_for_it (void)
 {
   g_autoptr (FkCluster) cluster = fk_cluster_new (4);
   Alderturn__Member entry = fk_member (ENTRY, "c1", 500);
 
   co_members_vouch (cluster->nodes[1].members, &entry, FALSE);
-  agree (cluster, ENTRY, "c1", LIVE, 10 * KNL_SEC);
+  assert_state_reached (cluster, ENTRY, "c1", LIVE, 10 * KNL_SEC);
   /* Its controller is killed; it links to another one before its deadline. */
   fk_node_stop (&cluster->nodes[1]);
   co_members_vouch (cluster->nodes[2].members, &entry, FALSE);
-  agree (cluster, CONTROLLER, "c1", DEAD, 30 * KNL_SEC);
+  assert_state_reached (cluster, CONTROLLER, "c1", DEAD, 30 * KNL_SEC);
   knl_paused_clock_advance (cluster->clock, 60 * KNL_SEC);
-  agree (cluster, ENTRY, "c1", LIVE, 0);
+  assert_state_reached (cluster, ENTRY, "c1", LIVE, 0);
   /* It links to its own controller again before the link to the other one closes. */
   fk_node_start (&cluster->nodes[1], 2000);
   knl_paused_clock_advance (cluster->clock, 10 * KNL_SEC);
@@ -255,18 +255,18 @@
   knl_paused_clock_advance (cluster->clock, 2 * KNL_SEC);
   co_members_unvouch (cluster->nodes[2].members, "c1");
   knl_paused_clock_advance (cluster->clock, 60 * KNL_SEC);
-  agree (cluster, ENTRY, "c1", LIVE, 0);
+  assert_state_reached (cluster, ENTRY, "c1", LIVE, 0);
   /* It is leaving, then its link closes. */
   co_members_vouch (cluster->nodes[1].members, &entry, TRUE);
-  agree (cluster, ENTRY, "c1", LEAVING, 2 * KNL_SEC);
+  assert_state_reached (cluster, ENTRY, "c1", LEAVING, 2 * KNL_SEC);
   co_members_unvouch (cluster->nodes[1].members, "c1");
-  agree (cluster, ENTRY, "c1", DEAD, 30 * KNL_SEC);
+  assert_state_reached (cluster, ENTRY, "c1", DEAD, 30 * KNL_SEC);
   /* A new process of the same name, then the instance with its controller fails. */
   entry.incarnation = 900;
   co_members_vouch (cluster->nodes[1].members, &entry, FALSE);
-  agree (cluster, ENTRY, "c1", LIVE, 10 * KNL_SEC);
+  assert_state_reached (cluster, ENTRY, "c1", LIVE, 10 * KNL_SEC);
   fk_node_stop (&cluster->nodes[1]);
-  agree (cluster, ENTRY, "c1", DEAD, 60 * KNL_SEC);
+  assert_state_reached (cluster, ENTRY, "c1", DEAD, 60 * KNL_SEC);
 }
 
 /* Endpoints: steps on one controller, with the expected state after each. */
@@ -278,8 +278,8 @@
   STEP_LIST_MOVED,
   STEP_LIST_EMPTY,
   STEP_LIST_EMPTY_LATER,
-  STEP_SAYS_LIVE,
-  STEP_SAYS_LEAVING,
+  STEP_ADVERTISES_LIVE,
+  STEP_ADVERTISES_LEAVING,
   STEP_RESTARTED,
   STEP_GOSSIP_STALE_LIVE,
 } StepKind;
@@ -291,22 +291,24 @@
 } Step;
 
 static const Step endpoint_steps[][7] = {
-  { { STEP_LIST_EMPTY, 0 }, { STEP_LIST_LIVE, LIVE }, { STEP_SAYS_LIVE, LIVE } },
-  { { STEP_LIST_LEAVING, LEAVING }, { STEP_SAYS_LIVE, LEAVING }, { STEP_LIST_LEAVING, LEAVING } },
+  { { STEP_LIST_EMPTY, 0 }, { STEP_LIST_LIVE, LIVE }, { STEP_ADVERTISES_LIVE, LIVE } },
+  { { STEP_LIST_LEAVING, LEAVING },
+    { STEP_ADVERTISES_LIVE, LEAVING },
+    { STEP_LIST_LEAVING, LEAVING } },
   { { STEP_LIST_LIVE, LIVE },
-    { STEP_SAYS_LIVE, LIVE },
-    { STEP_SAYS_LEAVING, LEAVING },
+    { STEP_ADVERTISES_LIVE, LIVE },
+    { STEP_ADVERTISES_LEAVING, LEAVING },
     { STEP_LIST_LIVE, LEAVING },
-    { STEP_SAYS_LIVE, LEAVING },
+    { STEP_ADVERTISES_LIVE, LEAVING },
     { STEP_RESTARTED, LIVE } },
   { { STEP_LIST_LIVE, LIVE },
     { STEP_LIST_EMPTY, LIVE },
     { STEP_LIST_EMPTY_LATER, DEAD },
-    { STEP_SAYS_LIVE, DEAD },
+    { STEP_ADVERTISES_LIVE, DEAD },
     { STEP_GOSSIP_STALE_LIVE, DEAD },
     { STEP_LIST_LIVE, LIVE } },
-  { { STEP_LIST_LIVE, LIVE }, { STEP_SAYS_LEAVING, LEAVING }, { STEP_LIST_MOVED, LIVE } },
-  { { STEP_LIST_LEAVING, LEAVING }, { STEP_LIST_LIVE, LIVE }, { STEP_SAYS_LIVE, LIVE } },
+  { { STEP_LIST_LIVE, LIVE }, { STEP_ADVERTISES_LEAVING, LEAVING }, { STEP_LIST_MOVED, LIVE } },
+  { { STEP_LIST_LEAVING, LEAVING }, { STEP_LIST_LIVE, LIVE }, { STEP_ADVERTISES_LIVE, LIVE } },
 };
 
 static void
@@ -345,9 +347,9 @@
     case STEP_LIST_EMPTY:
       co_members_seed (members, NULL, 0);
       break;
-    case STEP_SAYS_LIVE:
-    case STEP_SAYS_LEAVING:
-      co_members_note_endpoint (members, ENGINE, "e1", 700, step == STEP_SAYS_LEAVING);
+    case STEP_ADVERTISES_LIVE:
+    case STEP_ADVERTISES_LEAVING:
+      co_members_note_endpoint (members, ENGINE, "e1", 700, step == STEP_ADVERTISES_LEAVING);
       break;
     case STEP_RESTARTED:
       co_members_note_endpoint (members, ENGINE, "e1", 800, FALSE);
@@ -361,7 +363,7 @@
 }
 
 static void
-test_endpoints_follow_the_list_and_their_own_word (void)
+test_endpoints_follow_the_list_and_what_they_advertise (void)
 {
   for (guint i = 0; i < G_N_ELEMENTS (endpoint_steps); i++)
     {
@@ -419,20 +421,21 @@
 static const SuiteCase cases[] = {
   { "a killed controller is dead to all, and no other is",
     test_a_killed_controller_is_dead_to_all_and_no_other_is },
-  { "a successor with an older clock is accepted", test_a_successor_with_an_older_clock_is_taken },
-  { "one broken path makes no member dead", test_one_broken_path_kills_nobody },
+  { "a successor with an older clock is accepted",
+    test_a_successor_with_an_older_clock_is_accepted },
+  { "one broken path makes no member dead", test_one_broken_path_makes_no_member_dead },
   { "a stopped controller resumes and suspects no other",
-    test_a_stopped_controller_comes_back_and_blames_nobody },
+    test_a_stopped_controller_resumes_and_suspects_no_other },
   { "a suspicion is extended for a controller that was stopped",
-    test_a_suspicion_waits_for_one_who_could_not_hear },
+    test_a_suspicion_is_extended_for_a_stopped_controller },
   { "a region cut for an hour heals by itself", test_a_region_cut_for_an_hour_heals_by_itself },
   { "leaving is known to all within two seconds", test_leaving_is_known_to_all_within_two_seconds },
   { "the cost of a member does not grow with their number",
     test_the_cost_of_a_member_does_not_grow_with_their_number },
   { "an entry follows the controllers that vouch for it",
-    test_an_entry_follows_those_who_vouch_for_it },
+    test_an_entry_follows_the_controllers_that_vouch_for_it },
   { "endpoints follow the list and what they advertise",
-    test_endpoints_follow_the_list_and_their_own_word },
+    test_endpoints_follow_the_list_and_what_they_advertise },
   { "observers and full updates", test_observers_and_full_updates },
 };
 
--- a/tests/unit/metrics_test.c
+++ b/tests/unit/metrics_test.c
@@ -123,7 +123,7 @@
 
 /* The number of series of an instance with 600 workspaces, 4 length classes and 4 outcomes. */
 static void
-test_usual_bound_has_room_for_600_workspaces (void)
+test_default_bound_suffices_for_600_workspaces (void)
 {
   static const CmMetricDef def = {
     .name = "requests_total",
@@ -158,7 +158,7 @@
   { "text format and bounded labels", test_text_and_bounded_labels },
   { "memory at 600 workspaces", test_memory_at_600_workspaces },
   { "the default bound is enough for 600 workspaces",
-    test_usual_bound_has_room_for_600_workspaces },
+    test_default_bound_suffices_for_600_workspaces },
 };
 
 SUITE_MAIN ("metrics", cases)
--- a/tests/unit/network_test.c
+++ b/tests/unit/network_test.c
@@ -30,7 +30,7 @@
   WrCloseReason reason;
   guint64 last; /* `have_revision` of the last pull */
   guint pulls;
-  guint64 heard_revision;
+  guint64 peer_revision;
 } Side;
 
 typedef struct
@@ -65,7 +65,7 @@
   Side *side = data;
 
   if (frame->body_case == ALDERTURN__FRAME__BODY_HEARTBEAT)
-    side->heard_revision = frame->heartbeat->config_revision;
+    side->peer_revision = frame->heartbeat->config_revision;
   if (frame->body_case != ALDERTURN__FRAME__BODY_CONFIG_PULL)
     return;
   side->pulls++;
@@ -188,7 +188,7 @@
     send_pull (pair->client.link, i);
   knl_paused_clock_advance (pair->clock, 60 * KNL_SEC);
   CU_ASSERT_EQUAL (pair->server.pulls, 50);
-  CU_ASSERT_EQUAL (pair->client.heard_revision, 41);
+  CU_ASSERT_EQUAL (pair->client.peer_revision, 41);
   CU_ASSERT_EQUAL (pair->client.closed + pair->server.closed, 0);
 }
 
@@ -235,7 +235,7 @@
 {
   const char *name;
   void (*run) (Pair *pair);
-  gboolean before; /* the fault occurs before the link is started, else after it is open */
+  gboolean before_connect; /* the fault occurs before the link is started, else after it is open */
   WrCloseReason client;
   WrCloseReason server; /* checked if the server's side was open; WR_CLOSED_BY_USER: not checked */
 } FaultCase;
@@ -247,13 +247,13 @@
 }
 
 static void
-fault_one_way (Pair *pair)
+fault_block_to_server (Pair *pair)
 {
   fk_network_block (pair->network, "entry-1", "controller-1", TRUE);
 }
 
 static void
-fault_other_way (Pair *pair)
+fault_block_to_client (Pair *pair)
 {
   fk_network_block (pair->network, "controller-1", "entry-1", TRUE);
 }
@@ -291,12 +291,12 @@
  */
 static const FaultCase fault_cases[] = {
   { "frozen", fault_freeze, FALSE, WR_CLOSED_SILENT, WR_CLOSED_SILENT },
-  { "one way", fault_one_way, FALSE, WR_CLOSED_SILENT, WR_CLOSED_SILENT },
-  { "other way", fault_other_way, FALSE, WR_CLOSED_SILENT, WR_CLOSED_SILENT },
+  { "one way", fault_block_to_server, FALSE, WR_CLOSED_SILENT, WR_CLOSED_SILENT },
+  { "other way", fault_block_to_client, FALSE, WR_CLOSED_SILENT, WR_CLOSED_SILENT },
   { "cut off", fault_cut_off, FALSE, WR_CLOSED_SILENT, WR_CLOSED_SILENT },
   { "restart", fault_restart, FALSE, WR_CLOSED_BY_PEER, WR_CLOSED_BY_USER },
   { "cut off before", fault_cut_off, TRUE, WR_CLOSED_UNREACHABLE, WR_CLOSED_BY_USER },
-  { "other way before", fault_other_way, TRUE, WR_CLOSED_UNREACHABLE, WR_CLOSED_BY_USER },
+  { "other way before", fault_block_to_client, TRUE, WR_CLOSED_UNREACHABLE, WR_CLOSED_BY_USER },
   { "refused", fault_refuse, TRUE, WR_CLOSED_UNREACHABLE, WR_CLOSED_BY_USER },
   { "wrong secret", fault_secret, TRUE, WR_CLOSED_BAD_SECRET, WR_CLOSED_BY_USER },
 };
@@ -309,13 +309,13 @@
       const FaultCase *row = &fault_cases[i];
       g_autoptr (Pair) pair = pair_new ();
 
-      if (row->before)
+      if (row->before_connect)
         row->run (pair);
       client_connect (pair);
       knl_paused_clock_advance (pair->clock, 10 * KNL_MSEC);
-      if (!row->before)
+      if (!row->before_connect)
         row->run (pair);
-      knl_paused_clock_advance (pair->clock, WR_SILENCE_LIMIT + 2 * WR_HEARTBEAT_INTERVAL);
+      knl_paused_clock_advance (pair->clock, WR_HEARTBEAT_TIMEOUT + 2 * WR_HEARTBEAT_INTERVAL);
       CU_ASSERT_EQUAL (pair->client.closed, 1);
       CU_ASSERT_EQUAL (pair->client.reason, row->client);
       if (pair->server.opened > 0 && row->server != WR_CLOSED_BY_USER)
@@ -337,7 +337,7 @@
 }
 
 static void
-test_a_short_cut_delays_and_loses_nothing (void)
+test_short_partition_delays_but_loses_no_frames (void)
 {
   g_autoptr (Pair) pair = pair_new ();
 
@@ -360,7 +360,7 @@
     test_each_fault_of_the_network_is_noticed_in_time },
   { "new links work beside a frozen one", test_new_links_work_beside_a_frozen_one },
   { "a short network partition delays frames but loses none",
-    test_a_short_cut_delays_and_loses_nothing },
+    test_short_partition_delays_but_loses_no_frames },
 };
 
 SUITE_MAIN ("network", cases)
--- a/tests/unit/overlay_test.c
+++ b/tests/unit/overlay_test.c
@@ -5,14 +5,14 @@
 
 #include <string.h>
 
-#define MOST 1700
+#define MAX_CONTROLLERS 1700
 
 typedef struct
 {
-  char names[MOST][16];
-  CoPlace places[MOST];
+  char names[MAX_CONTROLLERS][16];
+  CoNode nodes[MAX_CONTROLLERS];
   guint n;
-  gboolean (*links)[MOST]; /* [a][b]: a keeps a link to b */
+  gboolean (*links)[MAX_CONTROLLERS]; /* [a][b]: a keeps a link to b */
 } Overlay;
 
 static void
@@ -21,14 +21,14 @@
   static const char *const zone_names[] = { "a", "b", "c", "d", "e", "f", "g", "h" };
 
   overlay->n = n;
-  overlay->links = g_malloc0_n (MOST, sizeof *overlay->links);
+  overlay->links = g_malloc0_n (MAX_CONTROLLERS, sizeof *overlay->links);
   for (guint i = 0; i < n; i++)
     {
       g_snprintf (overlay->names[i], sizeof overlay->names[i], "instance-%u", i);
-      overlay->places[i] = (CoPlace){ overlay->names[i], zone_names[i % zones] };
+      overlay->nodes[i] = (CoNode){ overlay->names[i], zone_names[i % zones] };
     }
   for (guint i = 0; i < n; i++)
-    co_overlay_choose (&overlay->places[i], overlay->places, n, overlay->links[i]);
+    co_overlay_choose (&overlay->nodes[i], overlay->nodes, n, overlay->links[i]);
 }
 
 static guint
@@ -48,16 +48,16 @@
 static guint
 hops_to_all (const Overlay *overlay, guint from, const gboolean *lost)
 {
-  g_autofree gboolean *heard = g_new0 (gboolean, MOST);
+  g_autofree gboolean *reached = g_new0 (gboolean, MAX_CONTROLLERS);
   guint count = 1;
   guint alive = 0;
 
   for (guint i = 0; i < overlay->n; i++)
     alive += lost[i] ? 0 : 1;
-  heard[from] = TRUE;
+  reached[from] = TRUE;
   for (guint hop = 0; hop < 30; hop++)
     {
-      g_autofree gboolean *before = g_memdup2 (heard, MOST * sizeof (gboolean));
+      g_autofree gboolean *before = g_memdup2 (reached, MAX_CONTROLLERS * sizeof (gboolean));
 
       if (count == alive)
         return hop;
@@ -65,9 +65,9 @@
         {
           for (guint b = 0; before[a] && b < overlay->n; b++)
             {
-              if (heard[b] || lost[b] || !(overlay->links[a][b] || overlay->links[b][a]))
+              if (reached[b] || lost[b] || !(overlay->links[a][b] || overlay->links[b][a]))
                 continue;
-              heard[b] = TRUE;
+              reached[b] = TRUE;
               count++;
             }
         }
@@ -82,15 +82,15 @@
  * single controller or zone.
  */
 static void
-test_news_reach_all_over_few_links (void)
+test_updates_reach_all_over_few_links (void)
 {
   static const struct
   {
     guint n;
     guint zones;
     gboolean zone_lost;
-    guint most_links;
-    guint most_hops;
+    guint max_links;
+    guint max_hops;
   } rows[] = {
     { 3, 3, FALSE, 2, 1 },     { 9, 3, FALSE, 8, 1 },    { 12, 3, FALSE, 11, 1 },
     { 13, 3, FALSE, 13, 3 },   { 96, 3, FALSE, 22, 5 },  { 96, 3, TRUE, 22, 6 },
@@ -100,26 +100,26 @@
   for (guint r = 0; r < G_N_ELEMENTS (rows); r++)
     {
       Overlay overlay;
-      gboolean lost[MOST] = { FALSE };
-      guint most = 0;
+      gboolean lost[MAX_CONTROLLERS] = { FALSE };
+      guint max_degree = 0;
       guint hops;
 
       init (&overlay, rows[r].n, rows[r].zones);
       for (guint i = 0; i < overlay.n; i++)
         {
-          most = MAX (most, degree (&overlay, i));
-          lost[i] = rows[r].zone_lost && strcmp (overlay.places[i].zone, "b") == 0;
+          max_degree = MAX (max_degree, degree (&overlay, i));
+          lost[i] = rows[r].zone_lost && strcmp (overlay.nodes[i].zone, "b") == 0;
         }
       hops = hops_to_all (&overlay, 0, lost);
-      printf ("[%u: %u links, %u hops] ", rows[r].n, most, hops);
-      CU_ASSERT (most <= rows[r].most_links);
-      CU_ASSERT (hops <= rows[r].most_hops);
+      printf ("[%u: %u links, %u hops] ", rows[r].n, max_degree, hops);
+      CU_ASSERT (max_degree <= rows[r].max_links);
+      CU_ASSERT (hops <= rows[r].max_hops);
       g_free (overlay.links);
     }
 }
 
 static const SuiteCase cases[] = {
-  { "updates reach all over few links", test_news_reach_all_over_few_links },
+  { "updates reach all over few links", test_updates_reach_all_over_few_links },
 };
 
 SUITE_MAIN ("overlay", cases)
--- a/tests/unit/session_test.c
+++ b/tests/unit/session_test.c
@@ -135,7 +135,7 @@
 {
   g_autoptr (GByteArray) bytes = g_byte_array_new ();
 
-  wr_framing_encode (frame, WR_FRAME_LIMIT, bytes);
+  wr_framing_encode (frame, WR_MAX_FRAME_BYTES, bytes);
   /* One byte at a time: received frames may be split at any position. */
   for (guint i = 0; i < bytes->len && fixture->session != NULL && !fixture->channel.closed; i++)
     wr_session_receive (fixture->session, bytes->data + i, 1);
@@ -173,7 +173,7 @@
   guint8 bytes[WR_PROOF_BYTES];
   const char *fault;
 
-  wr_framing_init (&framing, WR_FRAME_LIMIT);
+  wr_framing_init (&framing, WR_MAX_FRAME_BYTES);
   wr_framing_push (&framing, fixture->channel.written->data, fixture->channel.written->len);
   CU_ASSERT_EQUAL_FATAL (wr_framing_next (&framing, &reply, &fault), WR_FRAMING_FRAME);
   CU_ASSERT_EQUAL_FATAL (reply->body_case, ALDERTURN__FRAME__BODY_HELLO_REPLY);
@@ -224,10 +224,10 @@
 }
 
 static void
-break_silent_stranger (Fixture *fixture)
+break_handshake_timeout (Fixture *fixture)
 {
   feed_good_hello (fixture);
-  knl_paused_clock_advance (fixture->clock, WR_HANDSHAKE_LIMIT);
+  knl_paused_clock_advance (fixture->clock, WR_HANDSHAKE_TIMEOUT);
 }
 
 static void
@@ -251,7 +251,7 @@
 break_slow (Fixture *fixture)
 {
   open_link (fixture);
-  fixture->channel.unsent = WR_UNSENT_LIMIT;
+  fixture->channel.unsent = WR_MAX_UNSENT_BYTES;
   feed_heartbeat (fixture);
 }
 
@@ -264,7 +264,7 @@
 break_silent_when_open (Fixture *fixture)
 {
   open_link (fixture);
-  knl_paused_clock_advance (fixture->clock, WR_SILENCE_LIMIT + WR_HEARTBEAT_INTERVAL);
+  knl_paused_clock_advance (fixture->clock, WR_HEARTBEAT_TIMEOUT + WR_HEARTBEAT_INTERVAL);
 }
 
 /* As above, but only the outgoing direction fails: heartbeats of the peer arrive, answers don't. */
@@ -344,7 +344,7 @@
   RUN (break_hello_twice, WR_CLOSED_BAD_FRAME, "entry-1", "frame out of turn"),
   RUN (break_secret, WR_CLOSED_BAD_SECRET, "entry-1", "peer does not know the secret"),
   RUN (break_reflected_proof, WR_CLOSED_BAD_SECRET, "entry-1", "peer does not know the secret"),
-  RUN (break_silent_stranger, WR_CLOSED_SILENT, "entry-1", "handshake took too long"),
+  RUN (break_handshake_timeout, WR_CLOSED_SILENT, "entry-1", "handshake took too long"),
   RUN (break_lost, WR_CLOSED_BY_PEER, NULL, NULL),
   GOODBYE ("\0\0\0\x0e\x2a\x0c\x0a\x0a"
            "bad-secret",
@@ -412,12 +412,12 @@
 {
   Fixture fixture;
   RawChannel bad = { .base.klass = &raw_class, .written = g_byte_array_new () };
-  WrSession *stranger;
+  WrSession *bad_session;
 
   fixture_init (&fixture);
   open_link (&fixture);
-  stranger = wr_session_accept (&fixture.host, &bad.base, "10.0.0.8:1", on_accept, &fixture);
-  wr_session_receive (stranger, (const guint8 *)"GET / HTTP/1.1\r\n\r\n", 18);
+  bad_session = wr_session_accept (&fixture.host, &bad.base, "10.0.0.8:1", on_accept, &fixture);
+  wr_session_receive (bad_session, (const guint8 *)"GET / HTTP/1.1\r\n\r\n", 18);
   knl_paused_clock_advance (fixture.clock, KNL_MSEC);
   CU_ASSERT_TRUE (bad.closed);
   CU_ASSERT_FALSE (fixture.channel.closed);
@@ -443,11 +443,11 @@
   open_link (&fixture);
   knl_paused_clock_advance (fixture.clock, WR_HEARTBEAT_INTERVAL);
   knl_paused_runtime_set_frozen (fixture.runtime, TRUE);
-  knl_paused_clock_advance (fixture.clock, 10 * WR_SILENCE_LIMIT);
+  knl_paused_clock_advance (fixture.clock, 10 * WR_HEARTBEAT_TIMEOUT);
   knl_paused_runtime_set_frozen (fixture.runtime, FALSE);
   knl_paused_clock_advance (fixture.clock, 0);
   CU_ASSERT_FALSE (fixture.channel.closed);
-  knl_paused_clock_advance (fixture.clock, WR_SILENCE_LIMIT + WR_HEARTBEAT_INTERVAL);
+  knl_paused_clock_advance (fixture.clock, WR_HEARTBEAT_TIMEOUT + WR_HEARTBEAT_INTERVAL);
   CU_ASSERT_TRUE (fixture.channel.closed);
   fixture_clear (&fixture);
 }
--- a/tests/unit/subset_test.c
+++ b/tests/unit/subset_test.c
@@ -11,37 +11,37 @@
 {
   guint n_entries;
   guint n_engines;
-  CoPlace *entries;
-  CoPlace *engines;
-  CoSubsetPart *parts; /* n_entries rows of n_engines */
+  CoNode *entries;
+  CoNode *engines;
+  CoSubsetKind *kinds; /* n_entries rows of n_engines */
 } Fleet;
 
-static CoPlace *
-places_new (const char *prefix, guint count)
+static CoNode *
+nodes_new (const char *prefix, guint count)
 {
   static const char *const zones[ZONES] = { "a", "b", "c" };
-  CoPlace *places = g_new0 (CoPlace, count);
+  CoNode *nodes = g_new0 (CoNode, count);
 
   for (guint i = 0; i < count; i++)
     {
-      places[i].name = g_strdup_printf ("%s-%u", prefix, i);
-      places[i].zone = zones[i % ZONES];
+      nodes[i].name = g_strdup_printf ("%s-%u", prefix, i);
+      nodes[i].zone = zones[i % ZONES];
     }
-  return places;
+  return nodes;
 }
 
 static void
-places_free (CoPlace *places, guint count)
+nodes_free (CoNode *nodes, guint count)
 {
   for (guint i = 0; i < count; i++)
-    g_free ((char *)places[i].name);
-  g_free (places);
+    g_free ((char *)nodes[i].name);
+  g_free (nodes);
 }
 
-static CoSubsetPart *
+static CoSubsetKind *
 row_of (const Fleet *fleet, guint entry)
 {
-  return fleet->parts + (gsize)entry * fleet->n_engines;
+  return fleet->kinds + (gsize)entry * fleet->n_engines;
 }
 
 static void
@@ -49,9 +49,9 @@
 {
   fleet->n_entries = n_entries;
   fleet->n_engines = n_engines;
-  fleet->entries = places_new ("entry", n_entries);
-  fleet->engines = places_new ("engine", n_engines);
-  fleet->parts = g_malloc0_n ((gsize)n_entries * n_engines, sizeof (CoSubsetPart));
+  fleet->entries = nodes_new ("entry", n_entries);
+  fleet->engines = nodes_new ("engine", n_engines);
+  fleet->kinds = g_malloc0_n ((gsize)n_entries * n_engines, sizeof (CoSubsetKind));
   for (guint i = 0; i < n_entries; i++)
     co_subset_choose (&fleet->entries[i], fleet->entries, n_entries, fleet->engines, n_engines,
                       CO_SUBSET_SIZE, row_of (fleet, i));
@@ -60,23 +60,23 @@
 static void
 fleet_clear (Fleet *fleet)
 {
-  places_free (fleet->entries, fleet->n_entries);
-  places_free (fleet->engines, fleet->n_engines);
-  g_free (fleet->parts);
+  nodes_free (fleet->entries, fleet->n_entries);
+  nodes_free (fleet->engines, fleet->n_engines);
+  g_free (fleet->kinds);
 }
 
 typedef struct
 {
-  guint least;
-  guint most;
+  guint min;
+  guint max;
   double mean;
 } Spread;
 
 static void
 spread_add (Spread *spread, guint value, guint count)
 {
-  spread->least = MIN (spread->least, value);
-  spread->most = MAX (spread->most, value);
+  spread->min = MIN (spread->min, value);
+  spread->max = MAX (spread->max, value);
   spread->mean += (double)value / count;
 }
 
@@ -84,7 +84,7 @@
 static void
 measure (const Fleet *fleet, Spread *by_entry, Spread *by_engine)
 {
-  *by_entry = *by_engine = (Spread){ .least = G_MAXUINT };
+  *by_entry = *by_engine = (Spread){ .min = G_MAXUINT };
   for (guint i = 0; i < fleet->n_entries; i++)
     {
       guint count = 0;
@@ -107,9 +107,9 @@
 {
   guint entries;
   guint engines;
-  guint least_by_entry; /* minimum number of engines per entry */
-  guint most_by_entry;
-  guint least_by_engine; /* minimum number of entries per engine */
+  guint min_by_entry; /* minimum number of engines per entry */
+  guint max_by_entry;
+  guint min_by_engine; /* minimum number of entries per engine */
 } SizeCase;
 
 static const SizeCase size_cases[] = {
@@ -130,11 +130,11 @@
       fleet_init (&fleet, row->entries, row->engines);
       measure (&fleet, &by_entry, &by_engine);
       printf ("\n    %u entries, %u engines: an entry has %u..%u (%.1f), an engine %u..%u (%.1f)",
-              row->entries, row->engines, by_entry.least, by_entry.most, by_entry.mean,
-              by_engine.least, by_engine.most, by_engine.mean);
-      CU_ASSERT_TRUE (by_entry.least >= row->least_by_entry);
-      CU_ASSERT_TRUE (by_entry.most <= row->most_by_entry);
-      CU_ASSERT_TRUE (by_engine.least >= row->least_by_engine);
+              row->entries, row->engines, by_entry.min, by_entry.max, by_entry.mean, by_engine.min,
+              by_engine.max, by_engine.mean);
+      CU_ASSERT_TRUE (by_entry.min >= row->min_by_entry);
+      CU_ASSERT_TRUE (by_entry.max <= row->max_by_entry);
+      CU_ASSERT_TRUE (by_engine.min >= row->min_by_engine);
       fleet_clear (&fleet);
     }
   printf ("\n    ");
@@ -198,9 +198,9 @@
 static void
 test_lopsided_zones (void)
 {
-  CoPlace *entries = places_new ("entry", 60);
-  CoPlace *engines = places_new ("engine", 400);
-  CoSubsetPart parts[400];
+  CoNode *entries = nodes_new ("entry", 60);
+  CoNode *engines = nodes_new ("engine", 400);
+  CoSubsetKind kinds[400];
   guint used[400] = { 0 };
   double mean[2] = { 0 };
 
@@ -212,12 +212,12 @@
     {
       guint count = 0;
 
-      co_subset_choose (&entries[i], entries, 59, engines, 400, CO_SUBSET_SIZE, parts);
+      co_subset_choose (&entries[i], entries, 59, engines, 400, CO_SUBSET_SIZE, kinds);
       for (guint j = 0; j < 400; j++)
         {
-          count += parts[j] != CO_SUBSET_NONE;
-          used[j] += parts[j] != CO_SUBSET_NONE;
-          CU_ASSERT_TRUE (parts[j] != CO_SUBSET_HOME
+          count += kinds[j] != CO_SUBSET_NONE;
+          used[j] += kinds[j] != CO_SUBSET_NONE;
+          CU_ASSERT_TRUE (kinds[j] != CO_SUBSET_HOME
                           || strcmp (engines[j].zone, entries[i].zone) == 0);
         }
       CU_ASSERT_TRUE (count >= CO_SUBSET_SIZE / 2);
@@ -227,8 +227,8 @@
     CU_ASSERT_TRUE (used[j] >= 2);
   printf ("[%.1f engines, %.1f without any at home] ", mean[0], mean[1]);
   CU_ASSERT_TRUE (mean[0] > 35 && mean[1] > 35);
-  places_free (entries, 60);
-  places_free (engines, 400);
+  nodes_free (entries, 60);
+  nodes_free (engines, 400);
 }
 
 static const SuiteCase cases[] = {
--- a/tests/unit/tcp_test.c
+++ b/tests/unit/tcp_test.c
@@ -17,7 +17,7 @@
   guint closed;
   WrCloseReason reason;
   guint frames;
-  guint64 heard_revision;
+  guint64 peer_revision;
 } Side;
 
 typedef struct
@@ -42,7 +42,7 @@
   Side *side = data;
 
   if (frame->body_case == ALDERTURN__FRAME__BODY_HEARTBEAT)
-    side->heard_revision = frame->heartbeat->config_revision;
+    side->peer_revision = frame->heartbeat->config_revision;
   else
     side->frames++;
 }
@@ -139,7 +139,7 @@
 {
   Alderturn__IdemReply reply = ALDERTURN__IDEM_REPLY__INIT;
 
-  reply.body.len = WR_FRAME_LIMIT / 2;
+  reply.body.len = WR_MAX_FRAME_BYTES / 2;
   reply.body.data = g_malloc0 (reply.body.len);
   wr_link_send (link, WR_FRAME (IDEM_REPLY, idem_reply, &reply));
   g_free (reply.body.data);
@@ -160,7 +160,7 @@
   send_large (pair->server.link);
   run_until (pair, &pair->server.frames, 1);
   run_until (pair, &pair->client.frames, 1);
-  while (pair->client.heard_revision != 12)
+  while (pair->client.peer_revision != 12)
     CU_ASSERT_EQUAL_FATAL (event_base_loop (pair->base, EVLOOP_ONCE), 0);
 }
 
@@ -182,7 +182,7 @@
 }
 
 static void
-test_addresses_that_nobody_answers (void)
+test_unreachable_addresses (void)
 {
   static const char *const addresses[] = { "127.0.0.1:1", "nowhere", "" };
   g_autoptr (Pair) pair = pair_new ();
@@ -201,7 +201,7 @@
 static const SuiteCase cases[] = {
   { "frames go both ways", test_frames_go_both_ways },
   { "what was sent before close arrives", test_what_was_sent_before_close_arrives },
-  { "unreachable addresses", test_addresses_that_nobody_answers },
+  { "unreachable addresses", test_unreachable_addresses },
 };
 
 SUITE_MAIN ("tcp", cases)
