--- a/wire/handshake.c
+++ b/wire/handshake.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#define NAME_LIMIT 255
+#define MAX_NAME_BYTES 255
 
 static void
 update_number (GHmac *hmac, guint64 number)
@@ -72,7 +72,7 @@
 static gboolean
 name_is_usable (const char *name)
 {
-  return strlen (name) <= NAME_LIMIT && g_utf8_validate (name, -1, NULL);
+  return strlen (name) <= MAX_NAME_BYTES && g_utf8_validate (name, -1, NULL);
 }
 
 const char *
--- a/wire/heartbeat.c
+++ b/wire/heartbeat.c
@@ -1,10 +1,11 @@
 #include "wire/heartbeat.h"
 
 void
-wr_heartbeat_start (WrHeartbeat *heartbeat, KnlTime now, KnlTime interval, KnlTime limit)
+wr_heartbeat_start (WrHeartbeat *heartbeat, KnlTime now, KnlTime interval, KnlTime timeout)
 {
-  *heartbeat =
-      (WrHeartbeat){ .interval = interval, .limit = limit, .answered = now, .checked = now };
+  *heartbeat = (WrHeartbeat){
+    .interval = interval, .timeout = timeout, .answered_at = now, .checked_at = now
+  };
 }
 
 /*
@@ -14,26 +15,26 @@
  * counted as silence of the peer.
  */
 static void
-forgive_own_pause (WrHeartbeat *heartbeat, KnlTime now)
+exclude_local_stall (WrHeartbeat *heartbeat, KnlTime now)
 {
-  KnlTime late = now - heartbeat->checked - heartbeat->interval;
+  KnlTime stall = now - heartbeat->checked_at - heartbeat->interval;
 
-  if (late > heartbeat->interval)
-    heartbeat->answered = MIN (heartbeat->answered + late, now);
+  if (stall > heartbeat->interval)
+    heartbeat->answered_at = MIN (heartbeat->answered_at + stall, now);
 }
 
 gboolean
 wr_heartbeat_check (WrHeartbeat *heartbeat, KnlTime now)
 {
-  forgive_own_pause (heartbeat, now);
-  heartbeat->checked = now;
+  exclude_local_stall (heartbeat, now);
+  heartbeat->checked_at = now;
   heartbeat->sequence++;
-  return now - heartbeat->answered <= heartbeat->limit;
+  return now - heartbeat->answered_at <= heartbeat->timeout;
 }
 
 void
 wr_heartbeat_answered (WrHeartbeat *heartbeat, KnlTime now, guint64 sequence)
 {
   if (sequence >= 1 && sequence <= heartbeat->sequence)
-    heartbeat->answered = now;
+    heartbeat->answered_at = now;
 }
--- a/wire/session.c
+++ b/wire/session.c
@@ -22,8 +22,8 @@
   WrSessionHost *host;
   WrChannel *channel;
   State state;
-  gint64 number; /* key in the host's table */
-  guint depth;   /* nested calls running on the session */
+  gint64 number;       /* key in the host's table */
+  guint running_calls; /* nested calls running on the session */
   char *address;
   const WrLinkEvents *events;
   gpointer data;
@@ -62,16 +62,16 @@
 }
 
 static void
-enter (WrSession *session)
+begin_call (WrSession *session)
 {
-  session->depth++;
+  session->running_calls++;
 }
 
 static void
-leave (WrSession *session)
+end_call (WrSession *session)
 {
-  session->depth--;
-  if (session->state == STATE_CLOSED && session->depth == 0)
+  session->running_calls--;
+  if (session->state == STATE_CLOSED && session->running_calls == 0)
     session_free (session);
 }
 
@@ -100,12 +100,12 @@
 {
   WrSession *session = data;
 
-  enter (session);
+  begin_call (session);
   session->timer = 0;
   end_session (session);
   if (session->events != NULL && session->events->on_closed != NULL)
     session->events->on_closed (&session->base, session->reason, session->data);
-  leave (session);
+  end_call (session);
 }
 
 static gboolean
@@ -146,9 +146,9 @@
 {
   GByteArray *bytes = g_byte_array_new ();
 
-  if (!wr_framing_encode (frame, WR_FRAME_LIMIT, bytes))
+  if (!wr_framing_encode (frame, WR_MAX_FRAME_BYTES, bytes))
     fail (session, WR_CLOSED_BAD_FRAME, "own frame too long");
-  else if (session->channel->klass->unsent (session->channel) + bytes->len > WR_UNSENT_LIMIT)
+  else if (session->channel->klass->unsent (session->channel) + bytes->len > WR_MAX_UNSENT_BYTES)
     fail (session, WR_CLOSED_SLOW_PEER, "too many bytes wait to be sent");
   else
     session->channel->klass->write (session->channel, bytes->data, bytes->len);
@@ -212,9 +212,9 @@
   KnlKernel *kernel = session->host->kernel;
 
   session->state = STATE_OPEN;
-  session->framing.limit = WR_FRAME_LIMIT;
+  session->framing.limit = WR_MAX_FRAME_BYTES;
   wr_heartbeat_start (&session->heartbeat, knl_kernel_now (kernel), WR_HEARTBEAT_INTERVAL,
-                      WR_SILENCE_LIMIT);
+                      WR_HEARTBEAT_TIMEOUT);
   knl_timer_stop (kernel, &session->timer);
   session->timer = knl_timer_start (kernel, WR_HEARTBEAT_INTERVAL, on_heartbeat_due, session);
 }
@@ -223,17 +223,18 @@
 static void
 make_proof (WrSession *session, WrSide side, guint8 proof[WR_PROOF_BYTES])
 {
-  const guint8 *theirs = session->peer->nonce.data;
+  const guint8 *peer_nonce = session->peer->nonce.data;
   gboolean connecting = session->accept == NULL;
 
-  wr_handshake_proof (session->host->identity->secret, side, connecting ? session->nonce : theirs,
-                      connecting ? theirs : session->nonce, proof);
+  wr_handshake_proof (session->host->identity->secret, side,
+                      connecting ? session->nonce : peer_nonce,
+                      connecting ? peer_nonce : session->nonce, proof);
 }
 
 /** Validates `hello`, a part of `*frame`, and takes ownership of the frame; if invalid, refuses the
  * peer and returns FALSE. */
 static gboolean
-take_peer (WrSession *session, Alderturn__Frame **frame, const Alderturn__Hello *hello)
+accept_hello (WrSession *session, Alderturn__Frame **frame, const Alderturn__Hello *hello)
 {
   const char *fault;
 
@@ -267,7 +268,7 @@
   Alderturn__Frame answer = ALDERTURN__FRAME__INIT;
   guint8 proof[WR_PROOF_BYTES];
 
-  if (!take_peer (session, frame, (*frame)->hello))
+  if (!accept_hello (session, frame, (*frame)->hello))
     return;
   make_proof (session, WR_SIDE_ACCEPTING, proof);
   wr_handshake_hello (session->host->identity, session->nonce, &hello);
@@ -288,7 +289,7 @@
   Alderturn__Frame out = ALDERTURN__FRAME__INIT;
   guint8 proof[WR_PROOF_BYTES];
 
-  if (!take_peer (session, frame, reply->hello))
+  if (!accept_hello (session, frame, reply->hello))
     return;
   make_proof (session, WR_SIDE_ACCEPTING, proof);
   if (!wr_handshake_equal (proof, &reply->proof))
@@ -360,11 +361,11 @@
 
 typedef struct
 {
-  Alderturn__Frame__BodyCase wanted;
+  Alderturn__Frame__BodyCase body;
   void (*handle) (WrSession *session, Alderturn__Frame **frame);
-} Turn;
+} ExpectedFrame;
 
-static const Turn turns[] = {
+static const ExpectedFrame expected_frames[] = {
   [STATE_HELLO_SENT] = { ALDERTURN__FRAME__BODY_HELLO_REPLY, on_hello_reply },
   [STATE_ACCEPTING] = { ALDERTURN__FRAME__BODY_HELLO, on_hello },
   [STATE_REPLY_SENT] = { ALDERTURN__FRAME__BODY_HELLO_PROOF, on_hello_proof },
@@ -386,15 +387,15 @@
 static void
 handle_frame (WrSession *session, Alderturn__Frame **frame)
 {
-  const Turn *turn = &turns[session->state];
+  const ExpectedFrame *expected = &expected_frames[session->state];
 
   if ((*frame)->body_case == ALDERTURN__FRAME__BODY_GOODBYE)
     fail (session, WR_CLOSED_BY_PEER, goodbye_detail ((*frame)->goodbye));
-  else if (turn->handle == NULL
-           || (session->state != STATE_OPEN && (*frame)->body_case != turn->wanted))
+  else if (expected->handle == NULL
+           || (session->state != STATE_OPEN && (*frame)->body_case != expected->body))
     fail (session, WR_CLOSED_BAD_FRAME, "frame out of turn");
   else
-    turn->handle (session, frame);
+    expected->handle (session, frame);
 }
 
 void
@@ -406,7 +407,7 @@
 
   if (!is_alive (session))
     return;
-  enter (session);
+  begin_call (session);
   wr_framing_push (&session->framing, bytes, count);
   while (is_alive (session))
     {
@@ -419,7 +420,7 @@
     }
   if (result == WR_FRAMING_BAD)
     fail (session, WR_CLOSED_BAD_FRAME, fault);
-  leave (session);
+  end_call (session);
 }
 
 void
@@ -471,9 +472,9 @@
 
   if (session->state == STATE_CLOSED)
     return;
-  enter (session);
+  begin_call (session);
   end_session (session);
-  leave (session);
+  end_call (session);
 }
 
 static void
@@ -501,11 +502,11 @@
   session->channel = channel;
   session->state = state;
   session->address = g_strdup (address);
-  wr_framing_init (&session->framing, WR_HANDSHAKE_FRAME_LIMIT);
+  wr_framing_init (&session->framing, WR_MAX_HANDSHAKE_FRAME_BYTES);
   session->number = ++host->handshakes;
   wr_handshake_nonce (host->identity, (guint64)session->number, session->nonce);
   g_hash_table_insert (host->sessions, &session->number, session);
-  session->timer = knl_timer_start (host->kernel, WR_HANDSHAKE_LIMIT, on_handshake_late, session);
+  session->timer = knl_timer_start (host->kernel, WR_HANDSHAKE_TIMEOUT, on_handshake_late, session);
   return session;
 }
 
--- a/wire/tcp.c
+++ b/wire/tcp.c
@@ -13,9 +13,9 @@
 #include "wire/session.h"
 
 /** Maximum time to send the queued bytes after a close. */
-#define LINGER_LIMIT (2 * KNL_SEC)
+#define LINGER_TIMEOUT (2 * KNL_SEC)
 
-#define ADDRESS_BYTES (INET6_ADDRSTRLEN + 16)
+#define MAX_ADDRESS_BYTES (INET6_ADDRSTRLEN + 16)
 
 typedef struct
 {
@@ -40,7 +40,7 @@
   TcpTransport *transport;
   struct bufferevent *socket;
   WrSession *session; /* NULL once the session has closed the channel */
-  KnlTimerId linger;
+  KnlTimerId linger_timer;
 } TcpChannel;
 
 static void
@@ -48,7 +48,7 @@
 {
   TcpChannel *channel = data;
 
-  knl_timer_stop (channel->transport->host.kernel, &channel->linger);
+  knl_timer_stop (channel->transport->host.kernel, &channel->linger_timer);
   bufferevent_free (channel->socket);
   g_free (channel);
 }
@@ -74,7 +74,7 @@
 }
 
 static void
-on_lingered (struct bufferevent *socket, void *data)
+on_output_sent (struct bufferevent *socket, void *data)
 {
   channel_drop (data);
 }
@@ -97,9 +97,9 @@
       return;
     }
   bufferevent_disable (channel->socket, EV_READ);
-  bufferevent_setcb (channel->socket, NULL, on_lingered, on_linger_event, channel);
-  channel->linger =
-      knl_timer_start (channel->transport->host.kernel, LINGER_LIMIT, channel_drop, channel);
+  bufferevent_setcb (channel->socket, NULL, on_output_sent, on_linger_event, channel);
+  channel->linger_timer =
+      knl_timer_start (channel->transport->host.kernel, LINGER_TIMEOUT, channel_drop, channel);
 }
 
 static const WrChannelClass channel_class = {
@@ -187,7 +187,7 @@
 }
 
 static void
-format_address (const struct sockaddr *from, char out[ADDRESS_BYTES])
+format_address (const struct sockaddr *from, char out[MAX_ADDRESS_BYTES])
 {
   char host[INET6_ADDRSTRLEN] = "?";
 
@@ -196,7 +196,7 @@
       const struct sockaddr_in *v4 = (const struct sockaddr_in *)from;
 
       inet_ntop (AF_INET, &v4->sin_addr, host, sizeof host);
-      g_snprintf (out, ADDRESS_BYTES, "%s:%u", host, ntohs (v4->sin_port));
+      g_snprintf (out, MAX_ADDRESS_BYTES, "%s:%u", host, ntohs (v4->sin_port));
       return;
     }
   if (from->sa_family == AF_INET6)
@@ -204,10 +204,10 @@
       const struct sockaddr_in6 *v6 = (const struct sockaddr_in6 *)from;
 
       inet_ntop (AF_INET6, &v6->sin6_addr, host, sizeof host);
-      g_snprintf (out, ADDRESS_BYTES, "[%s]:%u", host, ntohs (v6->sin6_port));
+      g_snprintf (out, MAX_ADDRESS_BYTES, "[%s]:%u", host, ntohs (v6->sin6_port));
       return;
     }
-  g_strlcpy (out, host, ADDRESS_BYTES);
+  g_strlcpy (out, host, MAX_ADDRESS_BYTES);
 }
 
 static void
@@ -220,7 +220,7 @@
   Listener *listener = data;
   TcpTransport *transport = listener->transport;
   TcpChannel *channel = channel_new (transport, fd);
-  char address[ADDRESS_BYTES];
+  char address[MAX_ADDRESS_BYTES];
 
   format_address (from, address);
   set_no_delay (fd);
