--- a/include/policy/belief.h
+++ b/include/policy/belief.h
@@ -13,7 +13,7 @@
 
 #include "kernel/kernel.h"
 
-/** Most reporters that are remembered between two backoffs. */
+/** Maximum number of reporters that are kept between two backoffs. */
 #define POL_SHARED_HEALTH_MAX_REPORTERS 4
 
 typedef struct
--- a/include/policy/retry.h
+++ b/include/policy/retry.h
@@ -17,11 +17,11 @@
   POL_LOSS_MISMATCH, /**< the answer differs from what the caller already received */
 } PolLoss;
 
-/** An interface's bounds for each request. */
+/** An interface's bounds for each request; the attempt just made counts too. */
 typedef struct
 {
-  guint not_run_attempts;   /**< most attempts that cost an endpoint nothing, this one included */
-  guint run_attempts;       /**< most attempts that may have cost an endpoint time */
+  guint not_run_attempts;   /**< maximum number of attempts that cost an endpoint nothing */
+  guint run_attempts;       /**< maximum number of attempts that may have cost an endpoint time */
   gboolean budgets_not_run; /**< retries of attempts that didn't run need retry budget too */
 } PolRetryRule;
 
--- a/include/serve/config.h
+++ b/include/serve/config.h
@@ -44,7 +44,7 @@
                                 streams */
   double prefill_tokens_per_ms; /**< prefill speed */
   double pair_ms_per_m; /**< prefill: time for a million pairs of a token and an earlier one */
-  guint chunk;          /**< most prompt tokens of prefill in a step */
+  guint chunk;          /**< maximum number of prompt tokens prefilled in a step */
   double mean_prompt_tokens;
   double mean_answer_tokens;
 } SvEngineSpec;
--- a/include/serve/confirm.h
+++ b/include/serve/confirm.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * Confirmations that the configuration in use is the newest. They are passed on between instances,
- * so that only a few need to query the store.
+ * Confirmations that the configuration in use is the newest. Instances request them from each
+ * other, so that only a few need to query the store.
  *
  * An answer proves that the configuration was the newest at the time when its request was sent, by
  * the requester's own clock, less the age that the answer states. A message that is delayed, or a
@@ -33,8 +33,9 @@
   KnlTime (*endpoints_last_seen_at) (gpointer data);
   /** A peer has a newer endpoint list, which should have reached this instance already. */
   void (*query_endpoints) (gpointer data);
-  /** The same two for configurations. */
+  /** Time of the last answer about configurations (now, while an answer is being received). */
   KnlTime (*config_last_seen_at) (gpointer data);
+  /** A peer has a newer configuration, which should have reached this instance already. */
   void (*query_config) (gpointer data);
 } SvConfirmEvents;
 
--- a/include/serve/reads.h
+++ b/include/serve/reads.h
@@ -39,7 +39,8 @@
 /** Removes the prompt: its prefill is complete or was cancelled. No effect if unknown. */
 void sv_prefills_end (SvPrefills *prefills, guint64 prompt, KnlTime now);
 
-/** Finds a prompt and sets `read->length` to the prefill time left. FALSE: not in the backlog. */
+/** Finds a prompt and sets `prefill->length` to the prefill time left. FALSE: not in the backlog.
+ */
 gboolean sv_prefills_find (SvPrefills *prefills, guint64 prompt, KnlTime now, SvPrefill *prefill);
 
 /** Number of rows with `until_told`: parts of split prompts in progress or waiting. */
--- a/include/serve/router.h
+++ b/include/serve/router.h
@@ -5,7 +5,8 @@
 #include "serve/config.h"
 #include "serve/fleet.h"
 
-/** Most helpers of one prompt: endpoints that prefill parts of it besides the one that runs it. */
+/** Maximum number of helpers of one prompt: endpoints that prefill parts of it besides the one that
+ * runs it. */
 #define SV_MAX_HELPERS 16
 
 /** Input of a placement decision. */
--- a/policy/health.c
+++ b/policy/health.c
@@ -4,7 +4,7 @@
  * answers. */
 #define FAILURE_WEIGHT 0.08
 
-/* Most doublings of the backoff; more could overflow. */
+/* Maximum number of doublings of the backoff; more could overflow. */
 #define MAX_DOUBLINGS 20
 
 void
--- a/serve/admission.c
+++ b/serve/admission.c
@@ -5,7 +5,7 @@
 
 #include "serve/core_internal.h"
 
-/* Fraction of the grace after the order to stop in which new streams are still admitted; later
+/* Fraction of the grace after the stop signal in which new streams are still admitted; later
  * ones could not end within the grace. */
 #define DRAIN_STREAM_FRACTION 0.35
 
--- a/serve/attempt.c
+++ b/serve/attempt.c
@@ -134,7 +134,7 @@
           endpoint->id, "s", "address", endpoint->address, "s", "fault", fault, "b", "may-have-run",
           ran, "i", "endpoint-losses", (gint64)endpoint->health.losses, "i", "since-sent-us",
           now - self->sent_at, "i", "sends", (gint64)self->sends, "i", "endpoint-calls",
-          (gint64)load.calls, "i", "endpoint-tokens", (gint64)load.tokens, "i", "reading-us",
+          (gint64)load.calls, "i", "endpoint-tokens", (gint64)load.tokens, "i", "prefill-us",
           sv_endpoint_prefill_left (endpoint, now), "i", "silent-us",
           endpoint->last_seen_at > 0 ? now - endpoint->last_seen_at : (gint64)-1, "b", "begun",
           self->first_sent_at > 0);
--- a/serve/candidates.c
+++ b/serve/candidates.c
@@ -19,8 +19,7 @@
  * this time by the stream's gap class. */
 static const double stream_cost_ms[SV_N_GAP_CLASSES] = { 40, 10, 3 };
 
-/* Fraction of a service's endpoints that must remain for reported losses to be taken into
- * account. */
+/* Reported losses are ignored if they leave less than this fraction of a service's endpoints. */
 #define MIN_UNDOUBTED_FRACTION 0.5
 
 gboolean
@@ -50,7 +49,7 @@
 /* Which endpoints are accepted as candidates; the first level is tried first. */
 typedef enum
 {
-  LEVEL_UNDOUBTED, /* usable, and not in doubt because of losses reported by peers */
+  LEVEL_UNDOUBTED, /* usable, and not backed off because of losses reported by peers */
   LEVEL_USABLE,
   LEVEL_LAST_RESORT,
 } CandidateLevel;
--- a/serve/cells.c
+++ b/serve/cells.c
@@ -62,8 +62,8 @@
     {
       const Cell *cell = value;
 
-      /* The number last reported by its relay, or of the instances recently named in the store's
-       * rows. */
+      /* The number that its relay reported last, or that of its instances with recent rows in the
+       * store, whichever is larger. */
       n += MAX (cell->instances, sv_peers_n_in_zone (self, cell->zone));
     }
   return n;
--- a/serve/confirm.c
+++ b/serve/confirm.c
@@ -5,8 +5,8 @@
 
 /* Fractions of the maximum age `max_staleness`: the interval of requests to peers, the age from
  * which they are sent, and the age from which the store is queried as well. A follower's
- * confirmation can be as old as its feed's wait, and must still be younger than `max_staleness`
- * after it was passed on. */
+ * confirmation can be as old as the time that a feed request waits at the store, and must still be
+ * younger than `max_staleness` at the instance that requested it. */
 #define REQUEST_INTERVAL_FRACTION  0.2
 #define REQUEST_THRESHOLD_FRACTION 0.25
 #define STORE_THRESHOLD_FRACTION   0.8
--- a/serve/fleet.c
+++ b/serve/fleet.c
@@ -11,7 +11,7 @@
 #define PREFILL_SWEEP_THRESHOLD 1024
 #define SWEEP_INTERVAL          (SV_PREFILL_TTL / 4)
 
-/* Most endpoints that share the prefill of one prompt. */
+/* Maximum number of endpoints that share the prefill of one prompt. */
 #define MAX_PREFILL_ENDPOINTS 17
 
 /* The endpoints where the prefill of a prompt is placed. */
--- a/serve/relay.c
+++ b/serve/relay.c
@@ -18,7 +18,7 @@
 /* Callers' addresses in a description; callers whose own zone has too few instances get them. */
 #define MAX_READY_ADDRESSES 8
 
-/* Instances that receive the description if a zone's relay isn't known; they pass it to their
+/* Instances that receive the description if a zone's relay isn't known; they forward it to their
  * relay. */
 #define MAX_INTRODUCTIONS 2
 
@@ -31,8 +31,8 @@
   return g_hash_table_lookup (self->by_id, GUINT_TO_POINTER (cell->relay));
 }
 
-/* Sends the description to some instances of a cell whose relay isn't known; they pass it to their
- * relay. */
+/* Sends the description to some instances of a cell whose relay isn't known; they forward it to
+ * their relay. */
 static void
 introduce_to_cell (SvPeers *self, const Cell *cell, const Alderturn__Datagram *datagram)
 {
@@ -334,8 +334,8 @@
   run_rate_limited (self, &self->forward_timer, self->forwarded_at, on_forward_due);
 }
 
-/* Passes a datagram from another cell to our relay: its sender doesn't know which instance that is.
- */
+/* Forwards a datagram from another cell to our relay: its sender doesn't know which instance that
+ * is. */
 static void
 forward_to_relay (SvPeers *self, const Peer *relay, const guint8 *bytes, gsize length)
 {
@@ -379,8 +379,8 @@
         continue;
       if (passed->cell != NULL && passed->cell->id != self->cell)
         sv_peers_handle_cell (self, passed);
-      /* Not passed to a relay again: two instances that each take the other for the relay would do
-       * so forever. */
+      /* Not forwarded to a relay again: two instances that each consider the other the relay would
+       * do so forever. */
       if (datagram->to_relay)
         forward_to_cell (self, bytes->data, bytes->len);
       alderturn__datagram__free_unpacked (passed, NULL);
@@ -435,7 +435,7 @@
     }
 }
 
-/* An instance that has just started takes every endpoint for idle. If many start together, they
+/* To an instance that has just started, every endpoint looks idle. If many start together, they
  * send their first requests to the same few endpoints, and for seconds some engines have full
  * queues next to idle ones. */
 void
--- a/serve/reservation.c
+++ b/serve/reservation.c
@@ -215,7 +215,7 @@
   self->timer = 0;
   if (!self->releasing)
     {
-      /* An order without an answer yet isn't sent again: that would restart its time-out, and it
+      /* An order without an answer yet isn't sent again: that would restart its timeout, and it
        * would never count as lost. */
       for (guint i = 0; i < self->n_orders; i++)
         {
--- a/serve/router.c
+++ b/serve/router.c
@@ -94,7 +94,7 @@
 /*
  * An endpoint may leave the fleet while a part of a prompt is still on its way to
  * it or being processed. Its prefill entry is removed later, or its address is
- * passed to another endpoint; without a reference both would access freed memory.
+ * sent to another endpoint; without a reference both would access freed memory.
  */
 void
 sv_placement_ref (const SvPlacement *self)
--- a/serve/send.c
+++ b/serve/send.c
@@ -16,7 +16,7 @@
 #define MAX_REUSE_IDLE      (8 * KNL_SEC)
 #define MAX_REUSE_IDLE_ONCE (1 * KNL_SEC)
 
-/* A request whose caller waits for at least this fraction of the route's timeout is taken for its
+/* A request whose caller waits for at least this fraction of the route's timeout counts as its
  * first try; a caller that was refused returns with less time left. */
 #define FIRST_TRY_FRACTION 0.95
 
@@ -45,7 +45,7 @@
 
 /* An endpoint that answered any request within SILENCE_ALIVE_WINDOW is alive, and may have the
  * silent request in its queue; that request then gets up to SILENCE_QUEUED_FACTOR times the silence
- * limit. */
+ * timeout. */
 #define SILENCE_ALIVE_WINDOW  (600 * KNL_MSEC)
 #define SILENCE_QUEUED_FACTOR 4
 
@@ -322,8 +322,8 @@
 
 /*
  * An engine may keep a prompt queued for its own memory while the helpers hold
- * reserved memory for it. Without this limit that memory would stay taken for as
- * long as the caller waits, and shorter prompts would be refused there.
+ * reserved memory for it. Without this bound that memory would stay reserved for
+ * as long as the caller waits, and shorter prompts would be refused there.
  */
 static void
 on_hold_due (gpointer data)
--- a/tests/unit/pol_test.c
+++ b/tests/unit/pol_test.c
@@ -325,16 +325,16 @@
 }
 
 static const SuiteCase cases[] = {
-  { "the retry budget is one for all", test_budget_is_shared },
+  { "the retry budget is shared", test_budget_is_shared },
   { "the budget is not spent twice by a restart", test_budget_is_not_spent_twice_by_a_restart },
-  { "retries stay a part of the load", test_retries_are_limited_under_load },
+  { "retries are limited under load", test_retries_are_limited_under_load },
   { "a request that crashes three is refused", test_suspects_are_refused_after_three },
   { "suspects by own counts and by totals", test_suspects_by_own_counts_and_totals },
-  { "retries by rule, by table", test_retries_by_rule },
-  { "rests grow and end", test_backoffs_grow_and_end },
+  { "retries by rule", test_retries_by_rule },
+  { "backoffs grow and end", test_backoffs_grow_and_end },
   { "the choice among plain endpoints", test_plain_choice },
   { "limits of endpoints", test_limits },
-  { "the newest word of a limit", test_newest_advertised_limit },
+  { "the newest advertised limit", test_newest_advertised_limit },
 };
 
 SUITE_MAIN ("pol", cases)
--- a/tests/unit/sv_cells_test.c
+++ b/tests/unit/sv_cells_test.c
@@ -133,7 +133,8 @@
  * queue next to idle ones.
  * Sequence: an instance loses power and starts; it places requests before the descriptions of all
  * endpoints have arrived.
- * Cause: it took endpoints for idle whose loads it hadn't received yet, running prefills included.
+ * Cause: it considered endpoints idle whose loads it hadn't received yet, running prefills
+ * included.
  */
 static void
 test_a_started_instance_gets_a_snapshot (void)
--- a/tests/unit/sv_confirm_test.c
+++ b/tests/unit/sv_confirm_test.c
@@ -1,4 +1,4 @@
-/** Confirmations of the configuration that are passed on between instances, also delayed and old
+/** Confirmations of the configuration that instances request from each other, also delayed and old
  * ones. */
 
 #include <string.h>
@@ -7,7 +7,8 @@
 #include "serve/confirm.h"
 #include "suite.h"
 
-/* Enough instances for confirmations to be passed on; two of them query the store. */
+/* Enough instances for them to request confirmations from each other; two of them query the store.
+ */
 #define INSTANCES      14
 #define TEST_TIMEOUT_S 20
 
@@ -326,7 +327,7 @@
 /*
  * Symptom: an instance serves by an older configuration after others have a newer one.
  * Sequence: its feed is silent, and its peers confirm their own version.
- * Cause: a confirmation of another version was taken for one of its own.
+ * Cause: a confirmation of another version was accepted for its own version.
  */
 static void
 test_other_versions_confirm_nothing (void)
--- a/tests/unit/sv_limit_kept_test.c
+++ b/tests/unit/sv_limit_kept_test.c
@@ -1,5 +1,4 @@
-/** The rate of requests that endpoints which advertise a limit get, from one instance and from
- * many. */
+/** Rate of the requests that one instance, or many, send to endpoints that advertise a limit. */
 
 #include <string.h>
 
--- a/tests/unit/sv_memory_test.c
+++ b/tests/unit/sv_memory_test.c
@@ -101,7 +101,7 @@
 
 static const SuiteCase cases[] = {
   { "memory is not held for a prompt that waits", test_memory_is_not_held_for_a_prompt_that_waits },
-  { "an endpoint that rests meanwhile gets nothing", test_no_prompt_after_retry_after },
+  { "no prompt is sent before the Retry-After has passed", test_no_prompt_after_retry_after },
 };
 
 SUITE_MAIN ("sv_memory", cases)
--- a/tests/unit/sv_move_test.c
+++ b/tests/unit/sv_move_test.c
@@ -137,7 +137,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "streams make way", test_streams_migrate },
+  { "streams migrate", test_streams_migrate },
 };
 
 SUITE_MAIN ("sv_move", cases)
--- a/tests/unit/sv_parts_test.c
+++ b/tests/unit/sv_parts_test.c
@@ -84,7 +84,7 @@
 /*
  * Guards against a resumed stream that lacks an event or has one twice. An endpoint stops in the
  * middle of an event, and another one resumes after the last id; bytes of the incomplete event must
- * not have been passed on, and its id must not count as passed on.
+ * not have been forwarded, and its id must not count as forwarded.
  */
 static void
 test_events_in_any_pieces (void)
@@ -211,10 +211,10 @@
 static const SuiteCase cases[] = {
   { "the longest prefix decides", test_longest_prefix },
   { "a split follows its weights", test_split_by_weight },
-  { "events are cut whole, in any pieces", test_events_in_any_pieces },
+  { "events in any pieces", test_events_in_any_pieces },
   { "lapsed entries are a last resort", test_lapsed_entries_are_a_last_resort },
   { "a lost endpoint is tried by one request", test_lost_endpoint_is_tried_by_one },
-  { "unseen calls count for a moment", test_reported_calls_count_briefly },
+  { "reported calls count briefly", test_reported_calls_count_briefly },
 };
 
 SUITE_MAIN ("sv_parts", cases)
--- a/tests/unit/sv_reservation_test.c
+++ b/tests/unit/sv_reservation_test.c
@@ -35,7 +35,7 @@
 static void
 on_test_timeout (evutil_socket_t fd, short what, void *data)
 {
-  g_error ("nothing happens any more");
+  g_error ("the test timed out");
 }
 
 static void
@@ -302,10 +302,10 @@
 }
 
 static const SuiteCase cases[] = {
-  { "a refused part gives all back", test_refusal_releases_all_parts },
+  { "a refusal releases all parts", test_refusal_releases_all_parts },
   { "an order without answer is a short lease", test_order_without_answer_is_a_short_lease },
   { "held memory is renewed", test_held_memory_is_renewed },
-  { "a lease is not renewed at another start", test_lease_is_not_renewed_after_restart },
+  { "a lease is not renewed after a restart", test_lease_is_not_renewed_after_restart },
   { "limits in answers to orders", test_limits_in_answers_to_orders },
 };
 
--- a/tests/unit/sv_router_test.c
+++ b/tests/unit/sv_router_test.c
@@ -462,15 +462,15 @@
 static const SuiteCase cases[] = {
   { "short streams leave engines free", test_short_streams_leave_engines_free },
   { "long prompts avoid short streams", test_long_prompts_avoid_short_streams },
-  { "engines with few places", test_engines_with_few_slots },
-  { "rejected reading is taken out", test_rejected_prefill_is_removed },
-  { "reading counts until it is over", test_prefill_counts_until_its_end },
-  { "a short prompt is read with its pass", test_short_prefill_ends_with_its_pass },
-  { "a long prompt is not read whole beside streams", test_long_prompt_is_split_among_streams },
-  { "reading beside streams takes longer", test_prefill_next_to_streams_takes_longer },
+  { "engines with few slots", test_engines_with_few_slots },
+  { "a rejected prefill is removed", test_rejected_prefill_is_removed },
+  { "prefill counts until its end", test_prefill_counts_until_its_end },
+  { "a short prefill ends with its pass", test_short_prefill_ends_with_its_pass },
+  { "a long prompt is split among streams", test_long_prompt_is_split_among_streams },
+  { "prefill next to streams takes longer", test_prefill_next_to_streams_takes_longer },
   { "endpoints outlive the fleet", test_endpoints_outlive_the_fleet },
   { "memory is spread over engines", test_memory_is_spread },
-  { "full places are told", test_full_endpoints_are_indicated },
+  { "full endpoints are indicated", test_full_endpoints_are_indicated },
   { "busy helpers are left out", test_busy_helpers_are_left_out },
 };
 
