--- a/bench/policies.c
+++ b/bench/policies.c
@@ -169,7 +169,7 @@
 {
   return (SvPrefill){ .prompt = request->number,
                       .length = request->placement.prefill,
-                      .until_told = request->placement.is_split };
+                      .until_ended = request->placement.is_split };
 }
 
 static void
@@ -181,7 +181,7 @@
     return;
   request->reading = FALSE;
   sv_fleet_end_prefill (request->instance->fleet, request->number);
-  if (prefill.until_told)
+  if (prefill.until_ended)
     tell (request, &prefill, NULL, 0);
 }
 
--- a/include/serve/dialect.h
+++ b/include/serve/dialect.h
@@ -19,7 +19,7 @@
   const char *id; /**< id of this attempt by the caller; NULL: none */
   const char *host;
   const char *key;        /**< API key; NULL: none */
-  KnlTime limit;          /**< how long the caller waits; 0: not stated */
+  KnlTime timeout;        /**< how long the caller waits; 0: not stated */
   guint64 prompt_tokens;  /**< 0: not a prompt */
   guint64 answer_tokens;  /**< maximum number of tokens to generate */
   guint64 answer_hint;    /**< the caller's estimate of that number; 0: none */
@@ -57,10 +57,10 @@
   gboolean is_encoded;  /**< the body has a content encoding */
   gint in_service;      /**< running and queued requests at the endpoint; -1: not stated */
   const char *at_fault; /**< address of the endpoint that caused the failure; NULL: not stated */
-  KnlTime rest; /**< Retry-After: time in which this instance is to send no request; 0: none */
-  gboolean is_leaving; /**< the endpoint advertises that it is about to exit */
-  double limit;        /**< requests per second that the endpoint accepts from all callers together;
-                            POL_NO_LIMIT: any number */
+  KnlTime retry_after;  /**< Retry-After: time until this instance may send again; 0: none */
+  gboolean is_leaving;  /**< the endpoint advertises that it is about to exit */
+  double limit; /**< requests per second that the endpoint accepts from all callers together;
+                     POL_NO_LIMIT: any number */
 } SvReply;
 
 /** Applies the limit that an answer advertises, and logs a change. TRUE: it has changed. */
--- a/include/serve/fleet.h
+++ b/include/serve/fleet.h
@@ -230,7 +230,7 @@
 gboolean sv_endpoint_note_limit (SvEndpoint *endpoint, double rate, KnlTime advertised_at);
 
 /** Handles a report of how many requests were sent there since it advertised a limit. */
-void sv_endpoint_note_reported_sends (SvEndpoint *endpoint, const SvReportedSends *announced);
+void sv_endpoint_note_reported_sends (SvEndpoint *endpoint, const SvReportedSends *reported);
 
 /** Whether its limit, or that it was lifted recently, is to be announced to peers. */
 gboolean sv_endpoint_announces_limit (const SvEndpoint *endpoint, KnlTime now);
--- a/include/serve/peers.h
+++ b/include/serve/peers.h
@@ -30,10 +30,10 @@
 /** Called when a peer reports the fingerprint of a request that crashes endpoints. */
 typedef void (*SvPeerSuspectFunc) (guint64 fingerprint, gpointer data);
 
-/** Binds the UDP socket to `self->link_address`; strings are copied. Returns NULL with errno set if
- * it can't be bound. */
+/** Binds the UDP socket to `member->link_address`; strings are copied. Returns NULL with errno set
+ * if it can't be bound. */
 SvPeers *
-sv_peers_new (KnlKernel *kernel, struct event_base *base, SvFleet *fleet, const SvMember *self);
+sv_peers_new (KnlKernel *kernel, struct event_base *base, SvFleet *fleet, const SvMember *member);
 void sv_peers_free (SvPeers *peers);
 
 void sv_peers_on_suspect (SvPeers *peers, SvPeerSuspectFunc func, gpointer data);
--- a/include/serve/reads.h
+++ b/include/serve/reads.h
@@ -21,9 +21,9 @@
 /** Prefill of one prompt, or of a part of it, at one engine. */
 typedef struct
 {
-  guint64 prompt;      /**< id of the prompt, the same at all engines that prefill parts of it */
-  KnlTime length;      /**< time that the engine needs */
-  gboolean until_told; /**< counts until sv_prefills_end(), but at most for SV_PREFILL_TTL; FALSE:
+  guint64 prompt;       /**< id of the prompt, the same at all engines that prefill parts of it */
+  KnlTime length;       /**< time that the engine needs */
+  gboolean until_ended; /**< counts until sv_prefills_end(), but at most for SV_PREFILL_TTL; FALSE:
                           until its time has passed */
 } SvPrefill;
 
@@ -43,7 +43,7 @@
  */
 gboolean sv_prefills_find (SvPrefills *prefills, guint64 prompt, KnlTime now, SvPrefill *prefill);
 
-/** Number of rows with `until_told`: parts of split prompts in progress or waiting. */
+/** Number of rows with `until_ended`: parts of split prompts in progress or waiting. */
 guint sv_prefills_count_parts (const SvPrefills *prefills);
 
 /** Time until the whole backlog has been processed. */
--- a/serve/admission.c
+++ b/serve/admission.c
@@ -55,15 +55,15 @@
 check_route (SvRequest *self)
 {
   g_autofree char *path = ht_message_path (ht_call_request (self->call));
-  KnlTime limit;
+  KnlTime timeout;
 
   self->route = sv_config_route (self->config, self->params.host, path);
   if (self->route == NULL)
     return refuse_unknown (self, 404, "no-route");
-  limit = self->params.limit;
-  if (self->route->timeout > 0 && (limit <= 0 || self->route->timeout < limit))
-    limit = self->route->timeout;
-  self->deadline = limit > 0 ? self->begun_at + limit : KNL_NEVER;
+  timeout = self->params.timeout;
+  if (self->route->timeout > 0 && (timeout <= 0 || self->route->timeout < timeout))
+    timeout = self->route->timeout;
+  self->deadline = timeout > 0 ? self->begun_at + timeout : KNL_NEVER;
   return TRUE;
 }
 
--- a/serve/attempt.c
+++ b/serve/attempt.c
@@ -34,7 +34,7 @@
   SvPrefill prefill = {
     .prompt = XXH64 (self->params.id, strlen (self->params.id), self->sends),
     .length = self->placement.prefill,
-    .until_told = self->placement.is_split,
+    .until_ended = self->placement.is_split,
   };
 
   if (self->placement.part == 0)
@@ -61,7 +61,7 @@
   sv_fleet_end_prefill (core->parts.fleet, self->prefill.prompt);
   /* Peers let the prefill of an unsplit prompt expire by its expected time: announcing the end of
    * each would double the number of announcements. */
-  if (self->prefill.until_told || self->answer == NULL)
+  if (self->prefill.until_ended || self->answer == NULL)
     core->parts.link->klass->prefill_ended (core->parts.link, self->prefill.prompt);
 }
 
--- a/serve/confirm.c
+++ b/serve/confirm.c
@@ -176,7 +176,7 @@
   KnlTime confirmed_at = self->events->confirmed_at (self->data);
   SvPosition own = self->events->version (self->data);
   SvPosition endpoints = self->events->endpoints (self->data);
-  Alderturn__Confirmation reported = ALDERTURN__CONFIRMATION__INIT;
+  Alderturn__Confirmation confirmation = ALDERTURN__CONFIRMATION__INIT;
   KnlTime age;
 
   if (confirmed_at == -KNL_NEVER)
@@ -184,13 +184,13 @@
   age = knl_kernel_now (self->kernel) - confirmed_at;
   if (age < 0 || age >= self->max_staleness)
     return;
-  reported.stamp = request->stamp;
-  reported.version = own.version;
-  reported.era = own.era;
-  reported.age_ms = (guint32)(age / KNL_MSEC + 1);
-  reported.endpoints = endpoints.era == own.era ? endpoints.version : 0;
-  if (reported.version > 0)
-    sv_peers_send_confirmation (self->peers, peer, &reported);
+  confirmation.stamp = request->stamp;
+  confirmation.version = own.version;
+  confirmation.era = own.era;
+  confirmation.age_ms = (guint32)(age / KNL_MSEC + 1);
+  confirmation.endpoints = endpoints.era == own.era ? endpoints.version : 0;
+  if (confirmation.version > 0)
+    sv_peers_send_confirmation (self->peers, peer, &confirmation);
 }
 
 /* Whether a feed is silent for so long that it should have delivered what peers report: a live one
--- a/serve/endpoint_words.c
+++ b/serve/endpoint_words.c
@@ -17,11 +17,11 @@
 static void
 note_retry_after (const SvReply *self, SvEndpoint *endpoint, KnlTime at)
 {
-  if (self->rest == 0)
+  if (self->retry_after == 0)
     return;
-  endpoint->retry_after_until = MAX (endpoint->retry_after_until, at + self->rest);
+  endpoint->retry_after_until = MAX (endpoint->retry_after_until, at + self->retry_after);
   cm_log (CM_LOG_INFO, "endpoint-rest", "s", "endpoint", endpoint->id, "s", "request", self->id,
-          "i", "status", (gint64)self->status, "i", "asked-us", self->rest, "i", "until-us",
+          "i", "status", (gint64)self->status, "i", "asked-us", self->retry_after, "i", "until-us",
           endpoint->retry_after_until - at);
 }
 
--- a/serve/fleet.c
+++ b/serve/fleet.c
@@ -343,7 +343,7 @@
       SvPrefill prefill;
 
       if (first != NULL && sv_prefills_find (&first->prefills, placed->prompt, now, &prefill)
-          && prefill.until_told)
+          && prefill.until_ended)
         func (&prefill, placed->keys, placed->n, data);
     }
 }
--- a/serve/move.c
+++ b/serve/move.c
@@ -86,7 +86,7 @@
   GHashTableIter iter;
   gpointer key;
 
-  if (!prefill->until_told)
+  if (!prefill->until_ended)
     return;
   g_hash_table_iter_init (&iter, self->requests);
   while (g_hash_table_iter_next (&iter, &key, NULL))
--- a/serve/peers_internal.h
+++ b/serve/peers_internal.h
@@ -60,7 +60,7 @@
 {
   guint64 prompt;
   KnlTime length;
-  gboolean until_told;
+  gboolean until_ended;
   guint n; /* endpoints that prefill it; 0: the prefill has ended */
   guint64 keys[SV_MAX_HELPERS + 1];
 } PrefillRow;
@@ -68,7 +68,7 @@
 /** Updates to be announced, except loads, which the endpoints keep. */
 typedef struct
 {
-  GArray *reads;     /* PrefillRow */
+  GArray *prefills;  /* PrefillRow */
   GArray *suspects;  /* guint64 */
   GArray *lost;      /* guint64, keys of endpoints */
   GArray *lost_by;   /* guint32, id of the reporter for each of `lost` */
@@ -134,8 +134,8 @@
   Alderturn__EndpointLoad *load_rows[MAX_ROWS];
   Alderturn__EndpointLimit limits[MAX_ROWS]; /* limit of the same index in `loads` */
   guint n_limits;
-  Alderturn__PlacedRead reads[MAX_PREFILL_ROWS];
-  Alderturn__PlacedRead *read_rows[MAX_PREFILL_ROWS];
+  Alderturn__PlacedRead prefills[MAX_PREFILL_ROWS];
+  Alderturn__PlacedRead *prefill_rows[MAX_PREFILL_ROWS];
 } Rows;
 
 /* peers.c */
--- a/serve/peers_take.c
+++ b/serve/peers_take.c
@@ -221,7 +221,7 @@
       const Alderturn__PlacedRead *row = datagram->reads[i];
       SvPrefill read = { .prompt = row->prompt,
                          .length = row->length_us,
-                         .until_told = row->until_told };
+                         .until_ended = row->until_told };
 
       if (row->n_endpoints > 0)
         sv_fleet_add_prefill (self->fleet, &read, row->endpoints, (guint)row->n_endpoints);
--- a/serve/peers_tell.c
+++ b/serve/peers_tell.c
@@ -15,7 +15,7 @@
 sv_outbox_init (Outbox *self)
 {
   *self = (Outbox){
-    .reads = g_array_new (FALSE, FALSE, sizeof (PrefillRow)),
+    .prefills = g_array_new (FALSE, FALSE, sizeof (PrefillRow)),
     .suspects = g_array_new (FALSE, FALSE, sizeof (guint64)),
     .lost = g_array_new (FALSE, FALSE, sizeof (guint64)),
     .lost_by = g_array_new (FALSE, FALSE, sizeof (guint32)),
@@ -26,7 +26,7 @@
 void
 sv_outbox_clear (Outbox *self)
 {
-  g_array_unref (self->reads);
+  g_array_unref (self->prefills);
   g_array_unref (self->suspects);
   g_array_unref (self->lost);
   g_array_unref (self->lost_by);
@@ -80,7 +80,7 @@
   datagram->cut_off = self->cut_off;
   rows->n_limits = 0;
   datagram->loads = rows->load_rows;
-  datagram->reads = rows->read_rows;
+  datagram->reads = rows->prefill_rows;
 }
 
 gboolean
@@ -229,20 +229,20 @@
 static void
 fill_prefills (Alderturn__Datagram *datagram, Rows *rows, const Outbox *outbox)
 {
-  guint n = MIN (outbox->reads->len, MAX_PREFILL_ROWS);
+  guint n = MIN (outbox->prefills->len, MAX_PREFILL_ROWS);
 
   for (guint i = 0; i < n; i++)
     {
-      PrefillRow *read = &g_array_index (outbox->reads, PrefillRow, i);
-      Alderturn__PlacedRead *row = &rows->reads[i];
+      PrefillRow *read = &g_array_index (outbox->prefills, PrefillRow, i);
+      Alderturn__PlacedRead *row = &rows->prefills[i];
 
       alderturn__placed_read__init (row);
       row->prompt = read->prompt;
       row->endpoints = read->keys;
       row->n_endpoints = read->n;
       row->length_us = (guint32)read->length;
-      row->until_told = read->until_told;
-      rows->read_rows[i] = row;
+      row->until_told = read->until_ended;
+      rows->prefill_rows[i] = row;
     }
   datagram->n_reads = n;
 }
@@ -265,7 +265,7 @@
 void
 sv_outbox_remove_sent (Outbox *self, const Alderturn__Datagram *datagram)
 {
-  g_array_remove_range (self->reads, 0, (guint)datagram->n_reads);
+  g_array_remove_range (self->prefills, 0, (guint)datagram->n_reads);
   g_array_remove_range (self->suspects, 0, (guint)datagram->n_suspects);
   g_array_remove_range (self->lost, 0, (guint)datagram->n_lost);
   g_array_remove_range (self->lost_by, 0, (guint)datagram->n_lost_by);
@@ -316,12 +316,12 @@
       const Alderturn__PlacedRead *read = datagram->reads[i];
       PrefillRow row = { .prompt = read->prompt,
                          .length = read->length_us,
-                         .until_told = read->until_told,
+                         .until_ended = read->until_told,
                          .n = (guint)MIN (read->n_endpoints, G_N_ELEMENTS (row.keys)) };
 
       if (row.n > 0)
         memcpy (row.keys, read->endpoints, row.n * sizeof *row.keys);
-      g_array_append_val (self->reads, row);
+      g_array_append_val (self->prefills, row);
     }
   g_array_append_vals (self->suspects, datagram->suspects, (guint)datagram->n_suspects);
   g_array_append_vals (self->answering, datagram->answering, (guint)datagram->n_answering);
@@ -340,7 +340,7 @@
 static void
 announce_prefill (SvPeers *self, const PrefillRow *row)
 {
-  g_array_append_val (self->outbox.reads, *row);
+  g_array_append_val (self->outbox.prefills, *row);
   knl_timer_stop (self->kernel, &self->change_timer);
   announce_within (self, PREFILL_DELAY);
 }
@@ -349,7 +349,7 @@
 link_read_placed (SvPeerLink *link, const SvPrefill *read, const guint64 *keys, guint n)
 {
   PrefillRow row = {
-    .prompt = read->prompt, .length = read->length, .until_told = read->until_told, .n = n
+    .prompt = read->prompt, .length = read->length, .until_ended = read->until_ended, .n = n
   };
 
   memcpy (row.keys, keys, n * sizeof *keys);
--- a/serve/reads.c
+++ b/serve/reads.c
@@ -41,7 +41,7 @@
 
       row->left -= done;
       passed -= done;
-      if ((row->left == 0 && !row->prefill.until_told) || row->expires <= now)
+      if ((row->left == 0 && !row->prefill.until_ended) || row->expires <= now)
         g_array_remove_index (self->rows, i - 1);
     }
 }
@@ -89,7 +89,7 @@
   guint n = 0;
 
   for (guint i = 0; i < self->rows->len; i++)
-    n += row_at (self, i)->prefill.until_told;
+    n += row_at (self, i)->prefill.until_ended;
   return n;
 }
 
--- a/serve/relay.c
+++ b/serve/relay.c
@@ -292,7 +292,7 @@
 static void
 send_forwarded (SvPeers *self)
 {
-  ProtobufCBinaryData passed[MAX_ROWS];
+  ProtobufCBinaryData forwarded[MAX_ROWS];
   Alderturn__Datagram datagram;
   Rows rows;
   gsize bytes = 0;
@@ -307,10 +307,10 @@
 
       if (n > 0 && bytes + length > MAX_FORWARDED_BYTES)
         break;
-      passed[n] = (ProtobufCBinaryData){ .len = length, .data = (guint8 *)content };
+      forwarded[n] = (ProtobufCBinaryData){ .len = length, .data = (guint8 *)content };
       bytes += length;
     }
-  datagram.passed = passed;
+  datagram.passed = forwarded;
   datagram.n_passed = n;
   sv_peers_send_to_cell (self, &datagram);
   g_ptr_array_remove_range (self->forward_queue, 0, n);
@@ -339,12 +339,12 @@
 static void
 forward_to_relay (SvPeers *self, const Peer *relay, const guint8 *bytes, gsize length)
 {
-  ProtobufCBinaryData passed = { .len = length, .data = (guint8 *)bytes };
+  ProtobufCBinaryData forwarded = { .len = length, .data = (guint8 *)bytes };
   Alderturn__Datagram datagram;
   Rows rows;
 
   sv_peers_begin_datagram (self, &datagram, &rows);
-  datagram.passed = &passed;
+  datagram.passed = &forwarded;
   datagram.n_passed = 1;
   datagram.to_relay = TRUE;
   sv_peers_send (self, relay, &datagram);
@@ -373,17 +373,17 @@
   for (guint i = 0; i < datagram->n_passed; i++)
     {
       const ProtobufCBinaryData *bytes = &datagram->passed[i];
-      Alderturn__Datagram *passed = alderturn__datagram__unpack (NULL, bytes->len, bytes->data);
+      Alderturn__Datagram *forwarded = alderturn__datagram__unpack (NULL, bytes->len, bytes->data);
 
-      if (passed == NULL)
+      if (forwarded == NULL)
         continue;
-      if (passed->cell != NULL && passed->cell->id != self->cell)
-        sv_peers_handle_cell (self, passed);
+      if (forwarded->cell != NULL && forwarded->cell->id != self->cell)
+        sv_peers_handle_cell (self, forwarded);
       /* Not forwarded to a relay again: two instances that each consider the other the relay would
        * do so forever. */
       if (datagram->to_relay)
         forward_to_cell (self, bytes->data, bytes->len);
-      alderturn__datagram__free_unpacked (passed, NULL);
+      alderturn__datagram__free_unpacked (forwarded, NULL);
     }
 }
 
@@ -411,11 +411,11 @@
 snapshot_add_prefill (const SvPrefill *read, const guint64 *keys, guint n, gpointer data)
 {
   Snapshot *self = data;
-  PrefillRow row = { .prompt = read->prompt, .length = read->length, .until_told = TRUE, .n = n };
+  PrefillRow row = { .prompt = read->prompt, .length = read->length, .until_ended = TRUE, .n = n };
 
   memcpy (row.keys, keys, n * sizeof *keys);
-  g_array_append_val (self->outbox.reads, row);
-  if (self->outbox.reads->len == MAX_PREFILL_ROWS)
+  g_array_append_val (self->outbox.prefills, row);
+  if (self->outbox.prefills->len == MAX_PREFILL_ROWS)
     send_snapshot (self);
 }
 
--- a/serve/router.c
+++ b/serve/router.c
@@ -21,16 +21,16 @@
 static void
 place_plain (const SvChoice *choice, SvPlacement *placement)
 {
-  double least = G_MAXDOUBLE;
+  double min_cost = G_MAXDOUBLE;
 
   for (guint i = 0; i < choice->candidates->len; i++)
     {
       const SvCandidate *candidate = sv_candidate_at (choice, i);
       double cost = cost_of_plain (choice->demand, candidate);
 
-      if (cost < least)
+      if (cost < min_cost)
         {
-          least = cost;
+          min_cost = cost;
           placement->first = candidate->endpoint;
         }
     }
@@ -43,7 +43,7 @@
 min_limit_wait (const SvFleet *fleet, const SvDemand *demand, KnlTime now)
 {
   const GPtrArray *endpoints = sv_fleet_service (fleet, demand->service->name);
-  KnlTime least = 0;
+  KnlTime min_wait = 0;
 
   for (guint i = 0; endpoints != NULL && i < endpoints->len; i++)
     {
@@ -54,9 +54,9 @@
         continue;
       if (wait == 0)
         return 0;
-      least = least == 0 ? wait : MIN (least, wait);
+      min_wait = min_wait == 0 ? wait : MIN (min_wait, wait);
     }
-  return least;
+  return min_wait;
 }
 
 gboolean
--- a/serve/send.c
+++ b/serve/send.c
@@ -161,7 +161,7 @@
 is_first_try (const SvRequest *self)
 {
   return self->runs == 0 && self->params.last_event == NULL
-         && self->params.limit >= (KnlTime)(FIRST_TRY_FRACTION * (double)self->route->timeout);
+         && self->params.timeout >= (KnlTime)(FIRST_TRY_FRACTION * (double)self->route->timeout);
 }
 
 /* Its first event has not been sent and is expected to miss the objective. */
--- a/tests/unit/sv_cells_test.c
+++ b/tests/unit/sv_cells_test.c
@@ -141,7 +141,7 @@
 {
   PeersFixture fixture;
   SvPeerLink *link;
-  SvPrefill read = { .prompt = 5, .length = 300 * KNL_MSEC, .until_told = TRUE };
+  SvPrefill read = { .prompt = 5, .length = 300 * KNL_MSEC, .until_ended = TRUE };
   SvEndpoint *endpoint;
   guint started;
 
--- a/tests/unit/sv_era_test.c
+++ b/tests/unit/sv_era_test.c
@@ -77,17 +77,19 @@
 static void
 set_known_state (SvFixture *self)
 {
-  static const SvPrefill read = { .prompt = 7, .length = 5 * KNL_SEC, .until_told = TRUE };
+  static const SvPrefill read = { .prompt = 7, .length = 5 * KNL_SEC, .until_ended = TRUE };
   static const SvReply leaving = {
     .status = 200, .is_signed = TRUE, .is_leaving = TRUE, .limit = POL_NO_LIMIT
   };
-  static const SvReply rest = { .status = 503, .rest = 3 * KNL_SEC, .limit = POL_NO_LIMIT };
+  static const SvReply retry_later = { .status = 503,
+                                       .retry_after = 3 * KNL_SEC,
+                                       .limit = POL_NO_LIMIT };
   KnlTime now = knl_kernel_now (self->kernel);
 
   sv_fleet_add_prefill (self->fleet, &read, &endpoint_of (self, 0)->key, 1);
   sv_endpoint_note_limit (endpoint_of (self, 0), 2.5, now);
   sv_reply_note_signals (&leaving, endpoint_of (self, LEAVING), now);
-  sv_reply_note_signals (&rest, endpoint_of (self, MISSING), now);
+  sv_reply_note_signals (&retry_later, endpoint_of (self, MISSING), now);
   sv_endpoint_note_loss (endpoint_of (self, MISSING), now);
 }
 
--- a/tests/unit/sv_move_test.c
+++ b/tests/unit/sv_move_test.c
@@ -29,9 +29,9 @@
 typedef struct
 {
   const char *name;
-  KnlTime part;        /* prefill time of the long prompt's part */
-  gboolean elsewhere;  /* at another engine than the stream */
-  gboolean until_told; /* the prompt is split over several engines */
+  KnlTime part;         /* prefill time of the long prompt's part */
+  gboolean elsewhere;   /* at another engine than the stream */
+  gboolean until_ended; /* the prompt is split over several engines */
   guint n_endpoints;
   gboolean no_retries;
   gboolean moves;
@@ -97,7 +97,7 @@
                                        .new_config = 5 * KNL_SEC,
                                        .grace = 8 * KNL_SEC,
                                        .retries = { .window = 10 * KNL_SEC } };
-  SvPrefill prefill = { .prompt = 7, .length = row->part, .until_told = row->until_told };
+  SvPrefill prefill = { .prompt = 7, .length = row->part, .until_ended = row->until_ended };
   SvFixture fixture;
   guint runner;
   guint target;
--- a/tests/unit/sv_peers_test.c
+++ b/tests/unit/sv_peers_test.c
@@ -39,7 +39,7 @@
 {
   static const SvLoad load = { .calls = 1, .decoding_streams = { 0, 1, 0 }, .tokens = 5000 };
   PeersFixture fixture;
-  SvPrefill read = { .prompt = 5, .length = 300 * KNL_MSEC, .until_told = TRUE };
+  SvPrefill read = { .prompt = 5, .length = 300 * KNL_MSEC, .until_ended = TRUE };
   SvEndpoint *endpoint;
   SvPeerLink *link;
 
--- a/tests/unit/sv_restart_test.c
+++ b/tests/unit/sv_restart_test.c
@@ -72,7 +72,7 @@
 {
   static const ScriptedAnswer ok = { OK_ANSWER, FALSE };
   static const SvLoad load = { .calls = 4, .tokens = 1000 };
-  static const SvPrefill read = { .prompt = 7, .length = 5 * KNL_SEC, .until_told = TRUE };
+  static const SvPrefill read = { .prompt = 7, .length = 5 * KNL_SEC, .until_ended = TRUE };
   SvFixture fixture;
   SvEndpointEntry restarted;
   SvEndpoint *endpoint;
--- a/tests/unit/sv_router_test.c
+++ b/tests/unit/sv_router_test.c
@@ -116,7 +116,7 @@
   guint n = sv_placement_prefill_keys (placement, keys);
   SvPrefill prefill = { .prompt = prompt,
                         .length = placement->prefill,
-                        .until_told = placement->is_split };
+                        .until_ended = placement->is_split };
 
   sv_fleet_add_prefill (self->fleet, &prefill, keys, n);
 }
@@ -254,8 +254,8 @@
 static void
 test_prefill_counts_until_its_end (void)
 {
-  static const SvPrefill first = { .prompt = 1, .length = 300, .until_told = TRUE };
-  static const SvPrefill second = { .prompt = 2, .length = 200, .until_told = TRUE };
+  static const SvPrefill first = { .prompt = 1, .length = 300, .until_ended = TRUE };
+  static const SvPrefill second = { .prompt = 2, .length = 200, .until_ended = TRUE };
   static const SvPrefill unreported = { .prompt = 3, .length = 100 };
   SvPrefills prefills;
 
@@ -440,7 +440,7 @@
   now = knl_kernel_now (fixture.kernel);
   for (guint i = 0; i < 14; i++)
     {
-      SvPrefill part = { .prompt = 100 + i, .until_told = TRUE };
+      SvPrefill part = { .prompt = 100 + i, .until_ended = TRUE };
 
       sv_fleet_add_prefill (fixture.fleet, &part, &busy->key, 1);
     }
