--- a/include/serve/confirm.h
+++ b/include/serve/confirm.h
@@ -25,11 +25,11 @@
   /** A peer has a newer configuration, or no peer could confirm ours in time: the store must be
    * queried now. */
   void (*query_store) (gpointer data);
-  /** Revision of the newest change of the endpoint list that was received; the revision up to which
-   * all changes were received; and the time of the last answer about them (now, while an answer is
-   * being received). */
+  /** Revision of the newest change of the endpoint list that was received. */
   SvPosition (*endpoints) (gpointer data);
+  /** Revision up to which all changes of the endpoint list were received. */
   SvPosition (*endpoints_known) (gpointer data);
+  /** Time of the last answer about the endpoint list (now, while an answer is being received). */
   KnlTime (*endpoints_last_seen_at) (gpointer data);
   /** A peer has a newer endpoint list, which should have reached this instance already. */
   void (*query_endpoints) (gpointer data);
--- a/include/serve/core.h
+++ b/include/serve/core.h
@@ -77,7 +77,7 @@
  * known. */
 typedef KnlTime (*SvStaleSinceFunc) (gpointer data);
 
-/** Sets the function that tells since when the configuration is stale; callers are refused when
+/** Sets the function that returns since when the configuration is stale; callers are refused when
  * that exceeds the staleness bound. */
 void sv_core_set_stale_since (SvCore *core, SvStaleSinceFunc since, gpointer data);
 
--- a/include/serve/peers.h
+++ b/include/serve/peers.h
@@ -71,8 +71,8 @@
  * the store answers, or its cell is too small for sharing to pay off. */
 gboolean sv_peers_follows_store (const SvPeers *peers);
 
-/** Whether enough stronger instances of our cell to follow the store have been discovered, but no
- * datagram has arrived from them yet. */
+/** Whether our cell has enough stronger instances to follow the store for it, from which no
+ * datagram has arrived yet. */
 gboolean sv_peers_expects_followers (const SvPeers *peers);
 
 /** Whether the instance with that link address belongs to our cell and follows the store. */
--- a/tests/unit/sv_limit_kept_test.c
+++ b/tests/unit/sv_limit_kept_test.c
@@ -9,7 +9,7 @@
 #include "sv_fixture.h"
 
 /* The limit that the endpoint advertises, in requests per second, and the maximum that it may get
- * in a span: half as much again, and 5 more. */
+ * in a span: 1.5 times the limit, plus 5. */
 #define RATE         2.0
 #define SPAN         (4 * KNL_SEC)
 #define MAX_PER_SPAN ((guint)(1.5 * RATE * SPAN / KNL_SEC) + 5)
