--- a/include/serve/confirm.h
+++ b/include/serve/confirm.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * Confirmations that the configuration in use is the newest. They are passed on between instances,
- * so that only a few need to query the store.
+ * Confirmations that the configuration in use is the newest. Instances request them from each
+ * other, so that only a few need to query the store.
  *
  * An answer proves that the configuration was the newest at the time when its request was sent, by
  * the requester's own clock, less the age that the answer states. A message that is delayed, or a
@@ -25,16 +25,17 @@
   /** A peer has a newer configuration, or no peer could confirm ours in time: the store must be
    * queried now. */
   void (*query_store) (gpointer data);
-  /** Revision of the newest change of the endpoint list that was received; the revision up to which
-   * all changes were received; and the time of the last answer about them (now, while an answer is
-   * being received). */
+  /** Revision of the newest change of the endpoint list that was received. */
   SvPosition (*endpoints) (gpointer data);
+  /** Revision up to which all changes of the endpoint list were received. */
   SvPosition (*endpoints_known) (gpointer data);
+  /** Time of the last answer about the endpoint list (now, while an answer is being received). */
   KnlTime (*endpoints_last_seen_at) (gpointer data);
   /** A peer has a newer endpoint list, which should have reached this instance already. */
   void (*query_endpoints) (gpointer data);
-  /** The same two for configurations. */
+  /** Time of the last answer about configurations (now, while an answer is being received). */
   KnlTime (*config_last_seen_at) (gpointer data);
+  /** A peer has a newer configuration, which should have reached this instance already. */
   void (*query_config) (gpointer data);
 } SvConfirmEvents;
 
--- a/include/serve/peers.h
+++ b/include/serve/peers.h
@@ -30,10 +30,10 @@
 /** Called when a peer reports the fingerprint of a request that crashes endpoints. */
 typedef void (*SvPeerSuspectFunc) (guint64 fingerprint, gpointer data);
 
-/** Binds the UDP socket to `self->link_address`; strings are copied. Returns NULL with errno set if
- * it can't be bound. */
+/** Binds the UDP socket to `member->link_address`; strings are copied. Returns NULL with errno set
+ * if it can't be bound. */
 SvPeers *
-sv_peers_new (KnlKernel *kernel, struct event_base *base, SvFleet *fleet, const SvMember *self);
+sv_peers_new (KnlKernel *kernel, struct event_base *base, SvFleet *fleet, const SvMember *member);
 void sv_peers_free (SvPeers *peers);
 
 void sv_peers_on_suspect (SvPeers *peers, SvPeerSuspectFunc func, gpointer data);
@@ -71,8 +71,8 @@
  * the store answers, or its cell is too small for sharing to pay off. */
 gboolean sv_peers_follows_store (const SvPeers *peers);
 
-/** Whether enough stronger instances of our cell to follow the store have been discovered, but no
- * datagram has arrived from them yet. */
+/** Whether our cell has enough stronger instances to follow the store for it, from which no
+ * datagram has arrived yet. */
 gboolean sv_peers_expects_followers (const SvPeers *peers);
 
 /** Whether the instance with that link address belongs to our cell and follows the store. */
--- a/include/serve/reads.h
+++ b/include/serve/reads.h
@@ -21,9 +21,9 @@
 /** Prefill of one prompt, or of a part of it, at one engine. */
 typedef struct
 {
-  guint64 prompt;      /**< id of the prompt, the same at all engines that prefill parts of it */
-  KnlTime length;      /**< time that the engine needs */
-  gboolean until_told; /**< counts until sv_prefills_end(), but at most for SV_PREFILL_TTL; FALSE:
+  guint64 prompt;       /**< id of the prompt, the same at all engines that prefill parts of it */
+  KnlTime length;       /**< time that the engine needs */
+  gboolean until_ended; /**< counts until sv_prefills_end(), but at most for SV_PREFILL_TTL; FALSE:
                           until its time has passed */
 } SvPrefill;
 
@@ -39,10 +39,11 @@
 /** Removes the prompt: its prefill is complete or was cancelled. No effect if unknown. */
 void sv_prefills_end (SvPrefills *prefills, guint64 prompt, KnlTime now);
 
-/** Finds a prompt and sets `read->length` to the prefill time left. FALSE: not in the backlog. */
+/** Finds a prompt and sets `prefill->length` to the prefill time left. FALSE: not in the backlog.
+ */
 gboolean sv_prefills_find (SvPrefills *prefills, guint64 prompt, KnlTime now, SvPrefill *prefill);
 
-/** Number of rows with `until_told`: parts of split prompts in progress or waiting. */
+/** Number of rows with `until_ended`: parts of split prompts in progress or waiting. */
 guint sv_prefills_count_parts (const SvPrefills *prefills);
 
 /** Time until the whole backlog has been processed. */
--- a/serve/attempt.c
+++ b/serve/attempt.c
@@ -34,7 +34,7 @@
   SvPrefill prefill = {
     .prompt = XXH64 (self->params.id, strlen (self->params.id), self->sends),
     .length = self->placement.prefill,
-    .until_told = self->placement.is_split,
+    .until_ended = self->placement.is_split,
   };
 
   if (self->placement.part == 0)
@@ -61,7 +61,7 @@
   sv_fleet_end_prefill (core->parts.fleet, self->prefill.prompt);
   /* Peers let the prefill of an unsplit prompt expire by its expected time: announcing the end of
    * each would double the number of announcements. */
-  if (self->prefill.until_told || self->answer == NULL)
+  if (self->prefill.until_ended || self->answer == NULL)
     core->parts.link->klass->prefill_ended (core->parts.link, self->prefill.prompt);
 }
 
@@ -134,7 +134,7 @@
           endpoint->id, "s", "address", endpoint->address, "s", "fault", fault, "b", "may-have-run",
           ran, "i", "endpoint-losses", (gint64)endpoint->health.losses, "i", "since-sent-us",
           now - self->sent_at, "i", "sends", (gint64)self->sends, "i", "endpoint-calls",
-          (gint64)load.calls, "i", "endpoint-tokens", (gint64)load.tokens, "i", "reading-us",
+          (gint64)load.calls, "i", "endpoint-tokens", (gint64)load.tokens, "i", "prefill-us",
           sv_endpoint_prefill_left (endpoint, now), "i", "silent-us",
           endpoint->last_seen_at > 0 ? now - endpoint->last_seen_at : (gint64)-1, "b", "begun",
           self->first_sent_at > 0);
--- a/serve/relay.c
+++ b/serve/relay.c
@@ -18,7 +18,7 @@
 /* Callers' addresses in a description; callers whose own zone has too few instances get them. */
 #define MAX_READY_ADDRESSES 8
 
-/* Instances that receive the description if a zone's relay isn't known; they pass it to their
+/* Instances that receive the description if a zone's relay isn't known; they forward it to their
  * relay. */
 #define MAX_INTRODUCTIONS 2
 
@@ -31,8 +31,8 @@
   return g_hash_table_lookup (self->by_id, GUINT_TO_POINTER (cell->relay));
 }
 
-/* Sends the description to some instances of a cell whose relay isn't known; they pass it to their
- * relay. */
+/* Sends the description to some instances of a cell whose relay isn't known; they forward it to
+ * their relay. */
 static void
 introduce_to_cell (SvPeers *self, const Cell *cell, const Alderturn__Datagram *datagram)
 {
@@ -292,7 +292,7 @@
 static void
 send_forwarded (SvPeers *self)
 {
-  ProtobufCBinaryData passed[MAX_ROWS];
+  ProtobufCBinaryData forwarded[MAX_ROWS];
   Alderturn__Datagram datagram;
   Rows rows;
   gsize bytes = 0;
@@ -307,10 +307,10 @@
 
       if (n > 0 && bytes + length > MAX_FORWARDED_BYTES)
         break;
-      passed[n] = (ProtobufCBinaryData){ .len = length, .data = (guint8 *)content };
+      forwarded[n] = (ProtobufCBinaryData){ .len = length, .data = (guint8 *)content };
       bytes += length;
     }
-  datagram.passed = passed;
+  datagram.passed = forwarded;
   datagram.n_passed = n;
   sv_peers_send_to_cell (self, &datagram);
   g_ptr_array_remove_range (self->forward_queue, 0, n);
@@ -334,17 +334,17 @@
   run_rate_limited (self, &self->forward_timer, self->forwarded_at, on_forward_due);
 }
 
-/* Passes a datagram from another cell to our relay: its sender doesn't know which instance that is.
- */
+/* Forwards a datagram from another cell to our relay: its sender doesn't know which instance that
+ * is. */
 static void
 forward_to_relay (SvPeers *self, const Peer *relay, const guint8 *bytes, gsize length)
 {
-  ProtobufCBinaryData passed = { .len = length, .data = (guint8 *)bytes };
+  ProtobufCBinaryData forwarded = { .len = length, .data = (guint8 *)bytes };
   Alderturn__Datagram datagram;
   Rows rows;
 
   sv_peers_begin_datagram (self, &datagram, &rows);
-  datagram.passed = &passed;
+  datagram.passed = &forwarded;
   datagram.n_passed = 1;
   datagram.to_relay = TRUE;
   sv_peers_send (self, relay, &datagram);
@@ -373,17 +373,17 @@
   for (guint i = 0; i < datagram->n_passed; i++)
     {
       const ProtobufCBinaryData *bytes = &datagram->passed[i];
-      Alderturn__Datagram *passed = alderturn__datagram__unpack (NULL, bytes->len, bytes->data);
+      Alderturn__Datagram *forwarded = alderturn__datagram__unpack (NULL, bytes->len, bytes->data);
 
-      if (passed == NULL)
+      if (forwarded == NULL)
         continue;
-      if (passed->cell != NULL && passed->cell->id != self->cell)
-        sv_peers_handle_cell (self, passed);
-      /* Not passed to a relay again: two instances that each take the other for the relay would do
-       * so forever. */
+      if (forwarded->cell != NULL && forwarded->cell->id != self->cell)
+        sv_peers_handle_cell (self, forwarded);
+      /* Not forwarded to a relay again: two instances that each consider the other the relay would
+       * do so forever. */
       if (datagram->to_relay)
         forward_to_cell (self, bytes->data, bytes->len);
-      alderturn__datagram__free_unpacked (passed, NULL);
+      alderturn__datagram__free_unpacked (forwarded, NULL);
     }
 }
 
@@ -411,11 +411,11 @@
 snapshot_add_prefill (const SvPrefill *read, const guint64 *keys, guint n, gpointer data)
 {
   Snapshot *self = data;
-  PrefillRow row = { .prompt = read->prompt, .length = read->length, .until_told = TRUE, .n = n };
+  PrefillRow row = { .prompt = read->prompt, .length = read->length, .until_ended = TRUE, .n = n };
 
   memcpy (row.keys, keys, n * sizeof *keys);
-  g_array_append_val (self->outbox.reads, row);
-  if (self->outbox.reads->len == MAX_PREFILL_ROWS)
+  g_array_append_val (self->outbox.prefills, row);
+  if (self->outbox.prefills->len == MAX_PREFILL_ROWS)
     send_snapshot (self);
 }
 
@@ -435,7 +435,7 @@
     }
 }
 
-/* An instance that has just started takes every endpoint for idle. If many start together, they
+/* To an instance that has just started, every endpoint looks idle. If many start together, they
  * send their first requests to the same few endpoints, and for seconds some engines have full
  * queues next to idle ones. */
 void
--- a/tests/unit/sv_cells_test.c
+++ b/tests/unit/sv_cells_test.c
@@ -133,14 +133,15 @@
  * queue next to idle ones.
  * Sequence: an instance loses power and starts; it places requests before the descriptions of all
  * endpoints have arrived.
- * Cause: it took endpoints for idle whose loads it hadn't received yet, running prefills included.
+ * Cause: it considered endpoints idle whose loads it hadn't received yet, running prefills
+ * included.
  */
 static void
 test_a_started_instance_gets_a_snapshot (void)
 {
   PeersFixture fixture;
   SvPeerLink *link;
-  SvPrefill read = { .prompt = 5, .length = 300 * KNL_MSEC, .until_told = TRUE };
+  SvPrefill read = { .prompt = 5, .length = 300 * KNL_MSEC, .until_ended = TRUE };
   SvEndpoint *endpoint;
   guint started;
 
