--- a/include/serve/peers.h
+++ b/include/serve/peers.h
@@ -85,10 +85,10 @@
 /** Sets whether this instance accepts callers; a change is announced at once. */
 void sv_peers_set_ready (SvPeers *peers, gboolean ready);
 
-/** Addresses for callers of instances that are ready, those of `zone` first; at most `limit`.
- * Includes this instance if it is ready. Of other cells only some addresses are known. Free with
- * g_ptr_array_unref. */
-GPtrArray *sv_peers_ready_addresses (const SvPeers *peers, const char *zone, guint limit);
+/** Addresses for callers of instances that are ready, those of `zone` first; at most
+ * `max_addresses`. Includes this instance if it is ready. Of other cells only some addresses are
+ * known. Free with g_ptr_array_unref. */
+GPtrArray *sv_peers_ready_addresses (const SvPeers *peers, const char *zone, guint max_addresses);
 
 /** Number of live peers in all cells. */
 guint sv_peers_n_alive (const SvPeers *peers);
--- a/serve/candidates.c
+++ b/serve/candidates.c
@@ -20,7 +20,7 @@
 static const double stream_cost_ms[SV_N_GAP_CLASSES] = { 40, 10, 3 };
 
 /* Reported losses are ignored if they leave less than this fraction of a service's endpoints. */
-#define MIN_UNDOUBTED_FRACTION 0.5
+#define MIN_HEALTHY_FRACTION 0.5
 
 gboolean
 sv_demand_excludes (const SvDemand *demand, const SvEndpoint *endpoint)
@@ -49,7 +49,7 @@
 /* Which endpoints are accepted as candidates; the first level is tried first. */
 typedef enum
 {
-  LEVEL_UNDOUBTED, /* usable, and not backed off because of losses reported by peers */
+  LEVEL_HEALTHY, /* usable, and not backed off because of losses reported by peers */
   LEVEL_USABLE,
   LEVEL_LAST_RESORT,
 } CandidateLevel;
@@ -59,7 +59,7 @@
 {
   switch (level)
     {
-    case LEVEL_UNDOUBTED:
+    case LEVEL_HEALTHY:
       return sv_endpoint_is_usable (endpoint, now)
              && !sv_endpoint_has_shared_backoff (endpoint, now);
     case LEVEL_USABLE:
@@ -103,8 +103,8 @@
   const GPtrArray *endpoints = sv_fleet_service (fleet, demand->service->name);
   GArray *candidates = g_array_new (FALSE, FALSE, sizeof (SvCandidate));
 
-  collect_level (fleet, demand, LEVEL_UNDOUBTED, now, candidates);
-  if (endpoints != NULL && candidates->len < MIN_UNDOUBTED_FRACTION * endpoints->len)
+  collect_level (fleet, demand, LEVEL_HEALTHY, now, candidates);
+  if (endpoints != NULL && candidates->len < MIN_HEALTHY_FRACTION * endpoints->len)
     collect_level (fleet, demand, LEVEL_USABLE, now, candidates);
   if (candidates->len == 0)
     collect_level (fleet, demand, LEVEL_LAST_RESORT, now, candidates);
--- a/serve/config.c
+++ b/serve/config.c
@@ -206,7 +206,7 @@
 sv_route_service (const SvRoute *self, double point)
 {
   double sum = 0;
-  double passed = 0;
+  double cumulative = 0;
 
   for (guint i = 0; i < self->splits->len; i++)
     sum += g_array_index (self->splits, SvSplit, i).weight;
@@ -214,8 +214,8 @@
     {
       const SvSplit *split = &g_array_index (self->splits, SvSplit, i);
 
-      passed += split->weight;
-      if (point * sum < passed)
+      cumulative += split->weight;
+      if (point * sum < cumulative)
         return split->service;
     }
   return g_array_index (self->splits, SvSplit, self->splits->len - 1).service;
--- a/serve/core.c
+++ b/serve/core.c
@@ -190,9 +190,9 @@
   g_hash_table_iter_init (&iter, self->requests);
   while (g_hash_table_iter_next (&iter, &request, NULL))
     {
-      const SvRequest *one = request;
+      const SvRequest *candidate = request;
 
-      if (one->exchange != NULL && one->placement.first == endpoint)
+      if (candidate->exchange != NULL && candidate->placement.first == endpoint)
         g_ptr_array_add (found, request);
     }
   return found;
--- a/serve/endpoint.c
+++ b/serve/endpoint.c
@@ -248,12 +248,12 @@
 gboolean
 sv_endpoint_note_success (SvEndpoint *self, KnlTime now)
 {
-  gboolean was_doubted = pol_shared_health_has_reports (&self->shared_health);
+  gboolean had_reports = pol_shared_health_has_reports (&self->shared_health);
 
   self->answered_at = now;
   pol_health_note_success (&self->health);
   pol_shared_health_note_success (&self->shared_health);
-  return was_doubted;
+  return had_reports;
 }
 
 void
--- a/serve/endpoint_limit.c
+++ b/serve/endpoint_limit.c
@@ -10,13 +10,13 @@
 gboolean
 sv_endpoint_note_limit (SvEndpoint *self, double rate, KnlTime advertised_at)
 {
-  gboolean was_named = pol_limit_is_advertised (&self->limit);
+  gboolean was_advertised = pol_limit_is_advertised (&self->limit);
 
   if (!pol_limit_set (&self->limit, rate, advertised_at))
     return FALSE;
   self->own_changed = TRUE;
   self->cell_changed = TRUE;
-  if (!was_named)
+  if (!was_advertised)
     {
       self->sent = self->sent_in_cell = 0;
       g_array_set_size (self->reported_sends, 0);
@@ -41,13 +41,13 @@
 }
 
 static SvReportedSends *
-find_reported_sends (const SvEndpoint *self, const SvReportedSends *announced)
+find_reported_sends (const SvEndpoint *self, const SvReportedSends *reported)
 {
   for (guint i = 0; i < self->reported_sends->len; i++)
     {
       SvReportedSends *row = &g_array_index (self->reported_sends, SvReportedSends, i);
 
-      if (row->source == announced->source && row->is_cell == announced->is_cell)
+      if (row->source == reported->source && row->is_cell == reported->is_cell)
         return row;
     }
   return NULL;
@@ -56,27 +56,27 @@
 /* Number of sends that the report adds. A new reporter has counted the same requests from another
  * time on, so its first report adds none; a reporter whose count has fallen has restarted it. */
 static guint32
-added_sends (const SvReportedSends *before, const SvReportedSends *announced)
+added_sends (const SvReportedSends *before, const SvReportedSends *reported)
 {
   if (before == NULL)
-    return announced->sent;
-  if (before->reporter != announced->reporter)
+    return reported->sent;
+  if (before->reporter != reported->reporter)
     return 0;
-  return announced->sent >= before->sent ? announced->sent - before->sent : announced->sent;
+  return reported->sent >= before->sent ? reported->sent - before->sent : reported->sent;
 }
 
 void
-sv_endpoint_note_reported_sends (SvEndpoint *self, const SvReportedSends *announced)
+sv_endpoint_note_reported_sends (SvEndpoint *self, const SvReportedSends *reported)
 {
-  SvReportedSends *before = find_reported_sends (self, announced);
-  guint32 sent = added_sends (before, announced);
+  SvReportedSends *before = find_reported_sends (self, reported);
+  guint32 sent = added_sends (before, reported);
 
   if (before != NULL)
-    *before = *announced;
+    *before = *reported;
   else
-    g_array_append_val (self->reported_sends, *announced);
+    g_array_append_val (self->reported_sends, *reported);
   pol_limit_charge (&self->limit, sent);
-  if (announced->is_cell || sent == 0)
+  if (reported->is_cell || sent == 0)
     return;
   self->sent_in_cell += sent;
   self->cell_changed = TRUE;
--- a/serve/finish.c
+++ b/serve/finish.c
@@ -100,9 +100,9 @@
 void
 sv_request_note_disconnect (SvRequest *self)
 {
-  static const SvOutcome gone = { .reason = "caller-left" };
+  static const SvOutcome disconnected = { .reason = "caller-left" };
 
-  note_end (self, &gone);
+  note_end (self, &disconnected);
   request_free (self);
 }
 
--- a/serve/peers.c
+++ b/serve/peers.c
@@ -111,7 +111,7 @@
 /* Instances that are cut off from each other don't know what the others send. Without this, an
  * endpoint with a limit would get its limit once from each separate group of instances. */
 static void
-share_limits (SvPeers *self)
+update_instance_counts (SvPeers *self)
 {
   sv_fleet_set_instances (self->fleet, self->link.klass->n_instances (&self->link),
                           1 + sv_peers_n_alive (self));
@@ -129,7 +129,7 @@
     drop_silent (self, peer);
   g_hash_table_foreach_remove (self->peers, is_expired, self);
   self->n_in_cell = sv_peers_n_in_zone (self, self->self.zone);
-  share_limits (self);
+  update_instance_counts (self);
   if (self->n_heartbeats++ % HEARTBEATS_PER_FULL == 0)
     sv_peers_send_full (self, NULL);
   else
@@ -338,7 +338,7 @@
 }
 
 static void
-add_ready_in_cell (const SvPeers *self, GPtrArray *addresses, guint limit)
+add_ready_in_cell (const SvPeers *self, GPtrArray *addresses, guint max_addresses)
 {
   GHashTableIter iter;
   gpointer value;
@@ -346,7 +346,7 @@
   if (self->ready)
     g_ptr_array_add (addresses, g_strdup (self->self.callers_address));
   g_hash_table_iter_init (&iter, self->peers);
-  while (g_hash_table_iter_next (&iter, NULL, &value) && addresses->len < limit)
+  while (g_hash_table_iter_next (&iter, NULL, &value) && addresses->len < max_addresses)
     {
       const Peer *peer = value;
 
@@ -356,9 +356,9 @@
 }
 
 static void
-add_ready_of_cell (const SvPeers *self, const Cell *cell, GPtrArray *addresses, guint limit)
+add_ready_of_cell (const SvPeers *self, const Cell *cell, GPtrArray *addresses, guint max_addresses)
 {
-  for (guint i = 0; i < cell->ready->len && addresses->len < limit; i++)
+  for (guint i = 0; i < cell->ready->len && addresses->len < max_addresses; i++)
     {
       if (sv_cell_is_alive (self, cell))
         g_ptr_array_add (addresses, g_strdup (g_ptr_array_index (cell->ready, i)));
@@ -366,7 +366,7 @@
 }
 
 GPtrArray *
-sv_peers_ready_addresses (const SvPeers *self, const char *zone, guint limit)
+sv_peers_ready_addresses (const SvPeers *self, const char *zone, guint max_addresses)
 {
   GPtrArray *addresses = g_ptr_array_new_with_free_func (g_free);
   gboolean own_zone = g_strcmp0 (self->self.zone, zone) == 0;
@@ -377,12 +377,12 @@
       gpointer value;
 
       if (own_zone == (pass == 0))
-        add_ready_in_cell (self, addresses, limit);
+        add_ready_in_cell (self, addresses, max_addresses);
       g_hash_table_iter_init (&iter, self->cells);
       while (g_hash_table_iter_next (&iter, NULL, &value))
         {
           if ((g_strcmp0 (((const Cell *)value)->zone, zone) == 0) == (pass == 0))
-            add_ready_of_cell (self, value, addresses, limit);
+            add_ready_of_cell (self, value, addresses, max_addresses);
         }
     }
   return addresses;
--- a/serve/peers_take.c
+++ b/serve/peers_take.c
@@ -68,7 +68,7 @@
 /* A peer that loses requests at many endpoints at once is probably cut off or faulty itself. If its
  * reports were accepted, two such peers would make all instances avoid healthy endpoints. */
 static gboolean
-is_accepted (SvPeers *self, Peer *peer, gsize n_lost)
+accepts_losses (SvPeers *self, Peer *peer, gsize n_lost)
 {
   KnlTime now = knl_kernel_now (self->kernel);
   guint max_losses = MAX (MIN_ACCEPTED_LOSSES,
@@ -95,7 +95,7 @@
 static void
 handle_health (SvPeers *self, Peer *peer, const Alderturn__Datagram *datagram)
 {
-  gboolean losses_accepted = is_accepted (self, peer, datagram->n_lost);
+  gboolean losses_accepted = accepts_losses (self, peer, datagram->n_lost);
   gboolean has_reporters = datagram->n_lost_by == datagram->n_lost;
 
   for (guint i = 0; i < datagram->n_lost && losses_accepted; i++)
@@ -127,12 +127,12 @@
 }
 
 /* Handles a rate limit that the endpoint advertised to an instance, and the number of requests sent
- * to it since. `told` identifies the reporter; its `sent` is filled in here. */
+ * to it since. `reported` identifies the reporter; its `sent` is filled in here. */
 static void
 handle_limit (SvPeers *self,
               SvEndpoint *endpoint,
               const Alderturn__EndpointLimit *limit,
-              SvReportedSends told)
+              SvReportedSends reported)
 {
   KnlTime advertised_at = knl_kernel_now (self->kernel) - (KnlTime)limit->age_ms * KNL_MSEC;
   double before = endpoint->limit.rate;
@@ -142,11 +142,11 @@
   if (sv_endpoint_note_limit (endpoint, limit->rate < 0 ? POL_NO_LIMIT : limit->rate,
                               advertised_at))
     cm_log (CM_LOG_NOTICE, "endpoint-limit", "s", "endpoint", endpoint->id, "i", "reported-by",
-            (gint64)told.reporter, "f", "requests-a-second", endpoint->limit.rate, "f", "before",
-            before, "i", "age-us", (gint64)limit->age_ms * KNL_MSEC);
-  told.sent = limit->sent;
+            (gint64)reported.reporter, "f", "requests-a-second", endpoint->limit.rate, "f",
+            "before", before, "i", "age-us", (gint64)limit->age_ms * KNL_MSEC);
+  reported.sent = limit->sent;
   if (pol_limit_is_advertised (&endpoint->limit))
-    sv_endpoint_note_reported_sends (endpoint, &told);
+    sv_endpoint_note_reported_sends (endpoint, &reported);
 }
 
 /* Applies a snapshot row with another cell's load. The relay sends rows of live cells, so a cell
@@ -196,7 +196,7 @@
 static void
 handle_cell_loads (SvPeers *self, Cell *cell, const Alderturn__Datagram *datagram)
 {
-  SvReportedSends told = { .source = cell->id, .is_cell = TRUE, .reporter = datagram->sender };
+  SvReportedSends reported = { .source = cell->id, .is_cell = TRUE, .reporter = datagram->sender };
 
   for (guint i = 0; i < datagram->n_loads; i++)
     {
@@ -209,7 +209,7 @@
       sv_endpoint_set_cell (endpoint, cell->id, &load);
       cell->is_counted = TRUE;
       if (row->limit != NULL)
-        handle_limit (self, endpoint, row->limit, told);
+        handle_limit (self, endpoint, row->limit, reported);
     }
 }
 
@@ -219,12 +219,12 @@
   for (guint i = 0; i < datagram->n_reads; i++)
     {
       const Alderturn__PlacedRead *row = datagram->reads[i];
-      SvPrefill read = { .prompt = row->prompt,
-                         .length = row->length_us,
-                         .until_ended = row->until_told };
+      SvPrefill prefill = { .prompt = row->prompt,
+                            .length = row->length_us,
+                            .until_ended = row->until_told };
 
       if (row->n_endpoints > 0)
-        sv_fleet_add_prefill (self->fleet, &read, row->endpoints, (guint)row->n_endpoints);
+        sv_fleet_add_prefill (self->fleet, &prefill, row->endpoints, (guint)row->n_endpoints);
       else
         sv_fleet_end_prefill (self->fleet, row->prompt);
     }
@@ -294,11 +294,11 @@
 }
 
 static void
-replace_ready (Cell *cell, const Alderturn__Cell *told)
+replace_ready (Cell *cell, const Alderturn__Cell *reported)
 {
   g_ptr_array_set_size (cell->ready, 0);
-  for (guint i = 0; i < told->n_ready; i++)
-    g_ptr_array_add (cell->ready, g_strdup (told->ready[i]));
+  for (guint i = 0; i < reported->n_ready; i++)
+    g_ptr_array_add (cell->ready, g_strdup (reported->ready[i]));
 }
 
 /* Whether to accept the peer as relay of the cell. If two instances are cut off from each other,
--- a/serve/peers_tell.c
+++ b/serve/peers_tell.c
@@ -159,7 +159,10 @@
 }
 
 static void
-fill_full (SvPeers *self, Alderturn__Datagram *datagram, Alderturn__Sender *member, Rows *rows)
+fill_full_datagram (SvPeers *self,
+                    Alderturn__Datagram *datagram,
+                    Alderturn__Sender *member,
+                    Rows *rows)
 {
   const GPtrArray *endpoints = sv_fleet_all (self->fleet);
 
@@ -189,7 +192,7 @@
   Alderturn__Sender member;
   Rows rows;
 
-  fill_full (self, &datagram, &member, &rows);
+  fill_full_datagram (self, &datagram, &member, &rows);
   if (peer != NULL)
     sv_peers_send (self, peer, &datagram);
   else
@@ -233,15 +236,15 @@
 
   for (guint i = 0; i < n; i++)
     {
-      PrefillRow *read = &g_array_index (outbox->prefills, PrefillRow, i);
+      PrefillRow *prefill = &g_array_index (outbox->prefills, PrefillRow, i);
       Alderturn__PlacedRead *row = &rows->prefills[i];
 
       alderturn__placed_read__init (row);
-      row->prompt = read->prompt;
-      row->endpoints = read->keys;
-      row->n_endpoints = read->n;
-      row->length_us = (guint32)read->length;
-      row->until_told = read->until_ended;
+      row->prompt = prefill->prompt;
+      row->endpoints = prefill->keys;
+      row->n_endpoints = prefill->n;
+      row->length_us = (guint32)prefill->length;
+      row->until_told = prefill->until_ended;
       rows->prefill_rows[i] = row;
     }
   datagram->n_reads = n;
@@ -313,14 +316,14 @@
 {
   for (guint i = 0; i < datagram->n_reads; i++)
     {
-      const Alderturn__PlacedRead *read = datagram->reads[i];
-      PrefillRow row = { .prompt = read->prompt,
-                         .length = read->length_us,
-                         .until_ended = read->until_told,
-                         .n = (guint)MIN (read->n_endpoints, G_N_ELEMENTS (row.keys)) };
+      const Alderturn__PlacedRead *prefill = datagram->reads[i];
+      PrefillRow row = { .prompt = prefill->prompt,
+                         .length = prefill->length_us,
+                         .until_ended = prefill->until_told,
+                         .n = (guint)MIN (prefill->n_endpoints, G_N_ELEMENTS (row.keys)) };
 
       if (row.n > 0)
-        memcpy (row.keys, read->endpoints, row.n * sizeof *row.keys);
+        memcpy (row.keys, prefill->endpoints, row.n * sizeof *row.keys);
       g_array_append_val (self->prefills, row);
     }
   g_array_append_vals (self->suspects, datagram->suspects, (guint)datagram->n_suspects);
@@ -346,18 +349,19 @@
 }
 
 static void
-link_read_placed (SvPeerLink *link, const SvPrefill *read, const guint64 *keys, guint n)
+link_prefill_placed (SvPeerLink *link, const SvPrefill *prefill, const guint64 *keys, guint n)
 {
-  PrefillRow row = {
-    .prompt = read->prompt, .length = read->length, .until_ended = read->until_ended, .n = n
-  };
+  PrefillRow row = { .prompt = prefill->prompt,
+                     .length = prefill->length,
+                     .until_ended = prefill->until_ended,
+                     .n = n };
 
   memcpy (row.keys, keys, n * sizeof *keys);
   announce_prefill ((SvPeers *)link, &row);
 }
 
 static void
-link_read_ended (SvPeerLink *link, guint64 prompt)
+link_prefill_ended (SvPeerLink *link, guint64 prompt)
 {
   PrefillRow row = { .prompt = prompt };
 
@@ -398,8 +402,8 @@
 }
 
 const SvPeerLinkClass sv_peers_link_class = {
-  .prefill_placed = link_read_placed,
-  .prefill_ended = link_read_ended,
+  .prefill_placed = link_prefill_placed,
+  .prefill_ended = link_prefill_ended,
   .load_changed = link_load_changed,
   .suspect = link_suspect,
   .health_changed = link_health_changed,
--- a/serve/place_long.c
+++ b/serve/place_long.c
@@ -150,7 +150,7 @@
 sort_candidates (const SvChoice *choice)
 {
   guint best = 0;
-  double least = G_MAXDOUBLE;
+  double min_cost = G_MAXDOUBLE;
   SvCandidate first;
 
   g_array_sort (choice->candidates, compare_for_prefill);
@@ -158,9 +158,9 @@
     {
       double cost = cost_of_running (choice, sv_candidate_at (choice, i));
 
-      if (cost >= least)
+      if (cost >= min_cost)
         continue;
-      least = cost;
+      min_cost = cost;
       best = i;
     }
   first = *sv_candidate_at (choice, best);
@@ -220,16 +220,16 @@
 {
   guint max_width = MIN (count_prefill_endpoints (choice), SV_MAX_HELPERS + 1);
   guint width = max_width;
-  double least = G_MAXDOUBLE;
+  double min_cost = G_MAXDOUBLE;
 
   for (guint n = min_width (choice); n <= max_width; n++)
     {
       double finish;
       double cost = cost_of_width (choice, n, &finish);
 
-      if (cost >= least)
+      if (cost >= min_cost)
         continue;
-      least = cost;
+      min_cost = cost;
       width = n;
       *expected = finish;
     }
--- a/serve/relay.c
+++ b/serve/relay.c
@@ -408,10 +408,12 @@
 }
 
 static void
-snapshot_add_prefill (const SvPrefill *read, const guint64 *keys, guint n, gpointer data)
+snapshot_add_prefill (const SvPrefill *prefill, const guint64 *keys, guint n, gpointer data)
 {
   Snapshot *self = data;
-  PrefillRow row = { .prompt = read->prompt, .length = read->length, .until_ended = TRUE, .n = n };
+  PrefillRow row = {
+    .prompt = prefill->prompt, .length = prefill->length, .until_ended = TRUE, .n = n
+  };
 
   memcpy (row.keys, keys, n * sizeof *keys);
   g_array_append_val (self->outbox.prefills, row);
--- a/serve/send.c
+++ b/serve/send.c
@@ -109,9 +109,9 @@
 static guint64
 expected_answer (const SvRequest *self)
 {
-  guint64 most = self->params.answer_tokens;
+  guint64 max_tokens = self->params.answer_tokens;
 
-  return self->params.answer_hint > 0 ? MIN (self->params.answer_hint, most) : most;
+  return self->params.answer_hint > 0 ? MIN (self->params.answer_hint, max_tokens) : max_tokens;
 }
 
 static gboolean
@@ -265,7 +265,7 @@
 
 /* Sends the request, which is placed and has its memory reserved. */
 static void
-launch (SvRequest *self)
+send_now (SvRequest *self)
 {
   char resumed[32];
   const char *last_event = self->params.last_event;
@@ -312,7 +312,7 @@
     }
   if (ready)
     {
-      launch (self);
+      send_now (self);
       return;
     }
   self->reservation = NULL;
@@ -455,5 +455,5 @@
   if (needs_reservation (self))
     reserve (self);
   else
-    launch (self);
+    send_now (self);
 }
--- a/tests/unit/sv_cells_test.c
+++ b/tests/unit/sv_cells_test.c
@@ -141,7 +141,7 @@
 {
   PeersFixture fixture;
   SvPeerLink *link;
-  SvPrefill read = { .prompt = 5, .length = 300 * KNL_MSEC, .until_ended = TRUE };
+  SvPrefill prefill = { .prompt = 5, .length = 300 * KNL_MSEC, .until_ended = TRUE };
   SvEndpoint *endpoint;
   guint started;
 
@@ -150,9 +150,9 @@
   peers_fixture_call (&fixture, 0, 1);
   peers_fixture_call (&fixture, 4, 9);
   endpoint = peers_fixture_endpoint (&fixture, 4);
-  sv_fleet_add_prefill (fixture.fleets[4], &read, &endpoint->key, 1);
+  sv_fleet_add_prefill (fixture.fleets[4], &prefill, &endpoint->key, 1);
   link = sv_peers_link (fixture.peers[4]);
-  link->klass->prefill_placed (link, &read, &endpoint->key, 1);
+  link->klass->prefill_placed (link, &prefill, &endpoint->key, 1);
   peers_fixture_advance (&fixture, PEERS_PROPAGATION_TIME);
   peers_fixture_stop (&fixture, started);
   fixture.incarnation++;
--- a/tests/unit/sv_confirm_test.c
+++ b/tests/unit/sv_confirm_test.c
@@ -282,7 +282,7 @@
   static const KnlTime answer_delay = 800 * KNL_MSEC;
   Fixture fixture;
   Instance *other;
-  KnlTime asked_at;
+  KnlTime requested_at;
 
   fixture_open (&fixture);
   other = choose_non_follower (&fixture);
@@ -291,12 +291,12 @@
    */
   advance (&fixture, 2 * REQUEST_INTERVAL - STEP, FALSE);
   knl_paused_clock_advance (fixture.clock, STEP);
-  asked_at = knl_kernel_now (fixture.kernel);
+  requested_at = knl_kernel_now (fixture.kernel);
   confirm_followers (&fixture);
   knl_paused_clock_advance (fixture.clock, answer_delay);
   run_loop (&fixture);
-  CU_ASSERT (other->confirmed_at <= asked_at - answer_delay);
-  CU_ASSERT (other->confirmed_at > asked_at - REQUEST_INTERVAL);
+  CU_ASSERT (other->confirmed_at <= requested_at - answer_delay);
+  CU_ASSERT (other->confirmed_at > requested_at - REQUEST_INTERVAL);
   fixture_close (&fixture);
 }
 
--- a/tests/unit/sv_core_test.c
+++ b/tests/unit/sv_core_test.c
@@ -195,7 +195,7 @@
     "2a\r\nid: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: \r\n",
     TRUE
   };
-  static const ScriptedAnswer rest = {
+  static const ScriptedAnswer remainder = {
     "HTTP/1.1 200 OK\r\n" SIGNED
     "Content-Length: 45\r\n\r\nid: 2\ndata: b\n\nid: 3\ndata: c\n\nid: 4\ndata: d\n\n",
     FALSE
@@ -205,7 +205,7 @@
   sv_fixture_open (&fixture);
   sv_fixture_use_config (&fixture, 1, "key");
   sv_fixture_add_endpoint (&fixture, &broken, 1);
-  sv_fixture_add_endpoint (&fixture, &rest, 1);
+  sv_fixture_add_endpoint (&fixture, &remainder, 1);
   sv_fixture_request (&fixture, "/stream/1");
   sv_fixture_wait_for (&fixture, "\r\n0\r\n\r\n");
   CU_ASSERT_STRING_EQUAL (scripted_endpoint_field (fixture.endpoints[1], "last-event-id"), "2");
--- a/tests/unit/sv_era_test.c
+++ b/tests/unit/sv_era_test.c
@@ -50,7 +50,7 @@
   guint calls;
   guint losses;
   double limit;
-  KnlTime read_left;
+  KnlTime prefill_left;
   KnlTime retry_after_until;
   SvEndpointState state;
 } Known;
@@ -68,7 +68,7 @@
     .calls = endpoint->own.calls,
     .losses = endpoint->health.losses,
     .limit = endpoint->limit.rate,
-    .read_left = sv_endpoint_prefill_left (endpoint, knl_kernel_now (self->kernel)),
+    .prefill_left = sv_endpoint_prefill_left (endpoint, knl_kernel_now (self->kernel)),
     .retry_after_until = endpoint->retry_after_until,
     .state = endpoint->state,
   };
@@ -77,7 +77,7 @@
 static void
 set_known_state (SvFixture *self)
 {
-  static const SvPrefill read = { .prompt = 7, .length = 5 * KNL_SEC, .until_ended = TRUE };
+  static const SvPrefill prefill = { .prompt = 7, .length = 5 * KNL_SEC, .until_ended = TRUE };
   static const SvReply leaving = {
     .status = 200, .is_signed = TRUE, .is_leaving = TRUE, .limit = POL_NO_LIMIT
   };
@@ -86,7 +86,7 @@
                                        .limit = POL_NO_LIMIT };
   KnlTime now = knl_kernel_now (self->kernel);
 
-  sv_fleet_add_prefill (self->fleet, &read, &endpoint_of (self, 0)->key, 1);
+  sv_fleet_add_prefill (self->fleet, &prefill, &endpoint_of (self, 0)->key, 1);
   sv_endpoint_note_limit (endpoint_of (self, 0), 2.5, now);
   sv_reply_note_signals (&leaving, endpoint_of (self, LEAVING), now);
   sv_reply_note_signals (&retry_later, endpoint_of (self, MISSING), now);
@@ -127,12 +127,12 @@
       CU_ASSERT_EQUAL (after.calls, before[i].calls);
       CU_ASSERT_EQUAL (after.losses, before[i].losses);
       CU_ASSERT_EQUAL (after.limit, before[i].limit);
-      CU_ASSERT_EQUAL (after.read_left, before[i].read_left);
+      CU_ASSERT_EQUAL (after.prefill_left, before[i].prefill_left);
       CU_ASSERT_EQUAL (after.retry_after_until, before[i].retry_after_until);
       CU_ASSERT_EQUAL (after.state, before[i].state);
     }
   CU_ASSERT_EQUAL (before[0].calls, 1);
-  CU_ASSERT (before[0].read_left > 0);
+  CU_ASSERT (before[0].prefill_left > 0);
   CU_ASSERT_EQUAL (before[LEAVING].state, SV_ENDPOINT_LEAVING);
   CU_ASSERT_EQUAL (sv_core_n_requests (fixture.core), 1);
   CU_ASSERT_FALSE (fixture.ended);
--- a/tests/unit/sv_fixture.c
+++ b/tests/unit/sv_fixture.c
@@ -9,7 +9,7 @@
 #define TEST_TIMEOUT_S 20
 
 static void
-link_prefill_placed (SvPeerLink *link, const SvPrefill *read, const guint64 *keys, guint n)
+link_prefill_placed (SvPeerLink *link, const SvPrefill *prefill, const guint64 *keys, guint n)
 {
 }
 
@@ -75,12 +75,13 @@
 }
 
 static void
-on_gone (HtCall *call, gpointer data)
+on_disconnected (HtCall *call, gpointer data)
 {
   sv_core_note_disconnect (((SvFixture *)data)->core, call);
 }
 
-static const HtServerEvents front_events = { .request = on_request, .disconnected = on_gone };
+static const HtServerEvents front_events = { .request = on_request,
+                                             .disconnected = on_disconnected };
 
 static void
 add_route (SvConfig *config, const char *prefix, SvRouteKind kind, guint attempts)
--- a/tests/unit/sv_limit_kept_test.c
+++ b/tests/unit/sv_limit_kept_test.c
@@ -142,7 +142,7 @@
 static guint
 cluster_max_in_span (const Cluster *self)
 {
-  guint most = 0;
+  guint max_count = 0;
   guint from = 0;
 
   for (guint i = 0; i < self->arrivals->len; i++)
@@ -151,9 +151,9 @@
                  - g_array_index (self->arrivals, KnlTime, from)
              >= SPAN)
         from++;
-      most = MAX (most, i - from + 1);
+      max_count = MAX (max_count, i - from + 1);
     }
-  return most;
+  return max_count;
 }
 
 /* Guards against instances that each keep to the limit on their own, but exceed it together. */
@@ -275,9 +275,9 @@
 static void
 test_many_limits_fit_into_datagrams (void)
 {
-  static const guint most = 1 << 21;
-  const SvLoad load = { .calls = most,
-                        .decoding_streams = { most, most, most },
+  static const guint max_count = 1 << 21;
+  const SvLoad load = { .calls = max_count,
+                        .decoding_streams = { max_count, max_count, max_count },
                         .tokens = 1ULL << 40 };
   guint n_too_large = 0;
   Cluster cluster;
@@ -303,7 +303,7 @@
   cm_log_set_sink (NULL, NULL);
   CU_ASSERT_EQUAL (n_too_large, 0);
   for (guint i = 0; i < INSTANCES; i++)
-    CU_ASSERT_EQUAL (peers_fixture_load (&cluster.peers, i).calls, most);
+    CU_ASSERT_EQUAL (peers_fixture_load (&cluster.peers, i).calls, max_count);
   cluster_close (&cluster);
 }
 
@@ -348,27 +348,27 @@
 herd_report (Herd *self, guint step)
 {
   guint sender;
-  SvReportedSends told;
+  SvReportedSends reported;
 
   if (step < HERD_DELAY / HERD_STEP)
     return;
   sender = self->senders[step - HERD_DELAY / HERD_STEP];
   if (sender == 0)
     return;
-  told = (SvReportedSends){ .source = sender, .reporter = sender };
+  reported = (SvReportedSends){ .source = sender, .reporter = sender };
   for (guint i = 0; i <= step - HERD_DELAY / HERD_STEP; i++)
-    told.sent += self->senders[i] == sender;
+    reported.sent += self->senders[i] == sender;
   for (guint i = 0; i < HERD; i++)
     {
       if (i + 1 != sender)
-        sv_endpoint_note_reported_sends (herd_endpoint (self, i), &told);
+        sv_endpoint_note_reported_sends (herd_endpoint (self, i), &reported);
     }
 }
 
 static guint
 herd_max_in_span (const Herd *self)
 {
-  guint most = 0;
+  guint max_count = 0;
   guint n = 0;
 
   for (guint i = 0; i < HERD_STEPS; i++)
@@ -376,9 +376,9 @@
       n += self->senders[i] != 0;
       if (i >= SPAN / HERD_STEP)
         n -= self->senders[i - SPAN / HERD_STEP] != 0;
-      most = MAX (most, n);
+      max_count = MAX (max_count, n);
     }
-  return most;
+  return max_count;
 }
 
 /* Guards against many instances that all use the same newly available allowance. */
--- a/tests/unit/sv_load_test.c
+++ b/tests/unit/sv_load_test.c
@@ -98,7 +98,7 @@
 {
   Fixture fixture;
   RequestTimes alone;
-  RequestTimes beside;
+  RequestTimes second;
   RequestTimes wide;
 
   fixture_open (&fixture);
@@ -108,10 +108,10 @@
   CU_ASSERT (is_within (alone.first, 109, 111));
   CU_ASSERT (is_within (alone.last, 259, 261));
   /* The prefill of a second prompt makes the pass that it is part of longer. */
-  submit (&fixture, &beside, 0, 10000, 1, 0);
+  submit (&fixture, &second, 0, 10000, 1, 0);
   knl_paused_clock_advance (fixture.clock, 400 * KNL_MSEC);
-  CU_ASSERT (is_within (beside.first, 459, 461));
-  CU_ASSERT_TRUE (beside.is_done);
+  CU_ASSERT (is_within (second.first, 459, 461));
+  CU_ASSERT_TRUE (second.is_done);
   /* Each of three engines processes a third of the prompt. */
   submit (&fixture, &wide, 1, 30000, 1, 2);
   knl_paused_clock_advance (fixture.clock, KNL_SEC);
--- a/tests/unit/sv_memory_test.c
+++ b/tests/unit/sv_memory_test.c
@@ -5,7 +5,7 @@
 #include "suite.h"
 #include "sv_fixture.h"
 
-#define TAKEN "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"free\":10}"
+#define ACCEPTED "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"free\":10}"
 
 #define IDLE_BOUND (9 * KNL_SEC)
 /* Of the three endpoints, the one that runs the prompt and the one that reserves memory for it, as
@@ -36,7 +36,7 @@
 static void
 test_memory_is_not_held_for_a_prompt_that_waits (void)
 {
-  static const ScriptedAnswer taken[] = { { TAKEN, FALSE } };
+  static const ScriptedAnswer accepted[] = { { ACCEPTED, FALSE } };
   static const ScriptedAnswer silent[] = { { NULL, FALSE } };
   SvFixture fixture;
   KnlTime passed = 0;
@@ -44,7 +44,7 @@
   sv_fixture_open (&fixture);
   sv_fixture_use_engines (&fixture, 1, &sv_fixture_small_engine);
   for (guint i = 0; i < MAX_ENDPOINTS; i++)
-    sv_fixture_add_endpoint (&fixture, i == RUNNER ? silent : taken, 1);
+    sv_fixture_add_endpoint (&fixture, i == RUNNER ? silent : accepted, 1);
   sv_fixture_request_prompt (&fixture, "/long/1", 120000);
   wait_sent (&fixture);
   CU_ASSERT_TRUE (has_order (&fixture, HOLDER, "reserve"));
@@ -52,7 +52,7 @@
     {
       knl_paused_clock_advance (fixture.clock, STEP);
       passed += STEP;
-      for (guint turn = 0; turn < 5; turn++)
+      for (guint iteration = 0; iteration < 5; iteration++)
         event_base_loop (fixture.base, EVLOOP_NONBLOCK);
     }
   CU_ASSERT (passed < IDLE_BOUND);
@@ -66,14 +66,14 @@
 static void
 test_no_prompt_after_retry_after (void)
 {
-  static const ScriptedAnswer taken[] = { { TAKEN, FALSE } };
+  static const ScriptedAnswer accepted[] = { { ACCEPTED, FALSE } };
   SvFixture fixture;
   const SvEndpoint *runner = NULL;
 
   sv_fixture_open (&fixture);
   sv_fixture_use_engines (&fixture, 1, &sv_fixture_small_engine);
   for (guint i = 0; i < MAX_ENDPOINTS; i++)
-    sv_fixture_add_endpoint (&fixture, taken, 1);
+    sv_fixture_add_endpoint (&fixture, accepted, 1);
   sv_fixture_request_prompt (&fixture, "/long/1", 120000);
   sv_fixture_wait_requests (&fixture, HOLDER, 1);
   for (guint i = 0; i < MAX_ENDPOINTS; i++)
@@ -93,7 +93,7 @@
   for (KnlTime passed = 0; passed < 2 * IDLE_BOUND; passed += STEP)
     {
       knl_paused_clock_advance (fixture.clock, STEP);
-      for (guint turn = 0; turn < 5; turn++)
+      for (guint iteration = 0; iteration < 5; iteration++)
         event_base_loop (fixture.base, EVLOOP_NONBLOCK);
     }
   sv_fixture_close (&fixture);
--- a/tests/unit/sv_move_test.c
+++ b/tests/unit/sv_move_test.c
@@ -34,7 +34,7 @@
   gboolean until_ended; /* the prompt is split over several engines */
   guint n_endpoints;
   gboolean no_retries;
-  gboolean moves;
+  gboolean migrates;
 } Row;
 
 /*
@@ -115,11 +115,11 @@
   sv_fleet_add_prefill (fixture.fleet, &prefill, &endpoint_of (&fixture, target)->key, 1);
   knl_paused_clock_advance (fixture.clock, 40 * KNL_MSEC);
   settle (&fixture);
-  if ((sv_fixture_all_requests (&fixture) == 2) != row->moves)
+  if ((sv_fixture_all_requests (&fixture) == 2) != row->migrates)
     printf ("\n  %s: %u requests", row->name, sv_fixture_all_requests (&fixture));
-  CU_ASSERT_EQUAL (sv_fixture_all_requests (&fixture), row->moves ? 2 : 1);
-  CU_ASSERT_EQUAL (scripted_endpoint_n_ended (fixture.endpoints[runner]), row->moves ? 1 : 0);
-  if (row->moves)
+  CU_ASSERT_EQUAL (sv_fixture_all_requests (&fixture), row->migrates ? 2 : 1);
+  CU_ASSERT_EQUAL (scripted_endpoint_n_ended (fixture.endpoints[runner]), row->migrates ? 1 : 0);
+  if (row->migrates)
     CU_ASSERT_STRING_EQUAL (
         scripted_endpoint_field (fixture.endpoints[1 - runner], "last-event-id"), "2");
   /* The caller gets one answer, with each event once. */
--- a/tests/unit/sv_peers_test.c
+++ b/tests/unit/sv_peers_test.c
@@ -39,7 +39,7 @@
 {
   static const SvLoad load = { .calls = 1, .decoding_streams = { 0, 1, 0 }, .tokens = 5000 };
   PeersFixture fixture;
-  SvPrefill read = { .prompt = 5, .length = 300 * KNL_MSEC, .until_ended = TRUE };
+  SvPrefill prefill = { .prompt = 5, .length = 300 * KNL_MSEC, .until_ended = TRUE };
   SvEndpoint *endpoint;
   SvPeerLink *link;
 
@@ -47,7 +47,7 @@
   link = sv_peers_link (fixture.peers[0]);
   endpoint = peers_fixture_endpoint (&fixture, 0);
   sv_endpoint_charge (endpoint, &load, 1);
-  link->klass->prefill_placed (link, &read, &endpoint->key, 1);
+  link->klass->prefill_placed (link, &prefill, &endpoint->key, 1);
   link->klass->suspect (link, 77);
   knl_paused_clock_advance (fixture.clock, 3 * KNL_MSEC);
   while (peers_fixture_load (&fixture, 2).calls == 0 || fixture.suspect == 0)
@@ -58,7 +58,7 @@
                                        knl_kernel_now (fixture.kernel))
              > 290 * KNL_MSEC);
   CU_ASSERT_EQUAL (fixture.suspect, 77);
-  link->klass->prefill_ended (link, read.prompt);
+  link->klass->prefill_ended (link, prefill.prompt);
   knl_paused_clock_advance (fixture.clock, 3 * KNL_MSEC);
   while (sv_endpoint_prefill_left (peers_fixture_endpoint (&fixture, 2),
                                    knl_kernel_now (fixture.kernel))
@@ -171,7 +171,7 @@
 }
 
 static gboolean
-is_doubted_at (PeersFixture *self, guint i)
+has_shared_backoff_at (PeersFixture *self, guint i)
 {
   return sv_endpoint_has_shared_backoff (peers_fixture_endpoint (self, i),
                                          knl_kernel_now (self->kernel));
@@ -192,21 +192,21 @@
   fixture_open (&fixture);
   report_loss (&fixture, 0);
   /* A single instance may itself be cut off or faulty. */
-  CU_ASSERT_FALSE (is_doubted_at (&fixture, 2));
+  CU_ASSERT_FALSE (has_shared_backoff_at (&fixture, 2));
   report_loss (&fixture, 0);
-  CU_ASSERT_FALSE (is_doubted_at (&fixture, 2));
+  CU_ASSERT_FALSE (has_shared_backoff_at (&fixture, 2));
   report_loss (&fixture, 1);
-  CU_ASSERT_TRUE (is_doubted_at (&fixture, 2));
+  CU_ASSERT_TRUE (has_shared_backoff_at (&fixture, 2));
   /* An answer that the instance itself just received outweighs the reports. */
   CU_ASSERT_TRUE (sv_endpoint_note_success (peers_fixture_endpoint (&fixture, 2),
                                             knl_kernel_now (fixture.kernel)));
-  CU_ASSERT_FALSE (is_doubted_at (&fixture, 2));
+  CU_ASSERT_FALSE (has_shared_backoff_at (&fixture, 2));
   /* An answer to one instance clears the endpoint at all of them. */
   report_loss (&fixture, 1);
   link = sv_peers_link (fixture.peers[2]);
   link->klass->health_changed (link, peers_fixture_endpoint (&fixture, 2), FALSE);
   peers_fixture_advance (&fixture, PEERS_PROPAGATION_TIME);
-  CU_ASSERT_FALSE (is_doubted_at (&fixture, 0));
+  CU_ASSERT_FALSE (has_shared_backoff_at (&fixture, 0));
   peers_fixture_close (&fixture);
 }
 
@@ -223,7 +223,7 @@
   pol_shared_health_note_success (&peers_fixture_endpoint (&fixture, 2)->shared_health);
   report_loss (&fixture, 0);
   report_loss (&fixture, 1);
-  CU_ASSERT_FALSE (is_doubted_at (&fixture, 2));
+  CU_ASSERT_FALSE (has_shared_backoff_at (&fixture, 2));
   peers_fixture_close (&fixture);
 }
 
--- a/tests/unit/sv_reservation_test.c
+++ b/tests/unit/sv_reservation_test.c
@@ -14,8 +14,8 @@
 #define FREE_WITHIN (4 * KNL_SEC)
 #define HOLD        (3600 * KNL_MSEC)
 
-#define TAKEN   "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"free\":10}"
-#define REFUSED "HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\n{}"
+#define ACCEPTED "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"free\":10}"
+#define REFUSED  "HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\n{}"
 
 typedef struct
 {
@@ -144,9 +144,9 @@
 static void
 test_refusal_releases_all_parts (void)
 {
-  static const ScriptedAnswer given[] = { { TAKEN, FALSE } };
-  static const ScriptedAnswer refused[] = { { REFUSED, FALSE }, { TAKEN, FALSE } };
-  static const ScriptedAnswer *const scripts[2] = { given, refused };
+  static const ScriptedAnswer accepted[] = { { ACCEPTED, FALSE } };
+  static const ScriptedAnswer refused[] = { { REFUSED, FALSE }, { ACCEPTED, FALSE } };
+  static const ScriptedAnswer *const scripts[2] = { accepted, refused };
   Fixture fixture;
 
   fixture_open (&fixture, scripts, 1);
@@ -175,9 +175,9 @@
 static void
 test_order_without_answer_is_a_short_lease (void)
 {
-  static const ScriptedAnswer given[] = { { TAKEN, FALSE } };
+  static const ScriptedAnswer accepted[] = { { ACCEPTED, FALSE } };
   static const ScriptedAnswer silent[] = { { NULL, FALSE } };
-  static const ScriptedAnswer *const scripts[2] = { given, silent };
+  static const ScriptedAnswer *const scripts[2] = { accepted, silent };
   Fixture fixture;
   const char *hold;
   guint orders;
@@ -220,8 +220,8 @@
 static void
 test_held_memory_is_renewed (void)
 {
-  static const ScriptedAnswer given[] = { { TAKEN, FALSE } };
-  static const ScriptedAnswer *const scripts[2] = { given, given };
+  static const ScriptedAnswer accepted[] = { { ACCEPTED, FALSE } };
+  static const ScriptedAnswer *const scripts[2] = { accepted, accepted };
   Fixture fixture;
   SvReservation *reservation;
 
@@ -253,8 +253,8 @@
 static void
 test_lease_is_not_renewed_after_restart (void)
 {
-  static const ScriptedAnswer given[] = { { TAKEN, FALSE } };
-  static const ScriptedAnswer *const scripts[2] = { given, given };
+  static const ScriptedAnswer accepted[] = { { ACCEPTED, FALSE } };
+  static const ScriptedAnswer *const scripts[2] = { accepted, accepted };
   Fixture fixture;
   SvReservation *reservation;
   SvEndpointEntry again = { .id = "i-0", .service = "s", .zone = "a", .slots = 4, .start = 7 };
@@ -282,7 +282,7 @@
 {
   static const ScriptedAnswer limited[] = {
     { "HTTP/1.1 200 OK\r\nServer-Limit: 1.5\r\nContent-Length: 11\r\n\r\n{\"free\":10}", FALSE },
-    { TAKEN, FALSE },
+    { ACCEPTED, FALSE },
   };
   static const ScriptedAnswer *const scripts[2] = { limited, limited };
   Fixture fixture;
--- a/tests/unit/sv_restart_test.c
+++ b/tests/unit/sv_restart_test.c
@@ -72,7 +72,7 @@
 {
   static const ScriptedAnswer ok = { OK_ANSWER, FALSE };
   static const SvLoad load = { .calls = 4, .tokens = 1000 };
-  static const SvPrefill read = { .prompt = 7, .length = 5 * KNL_SEC, .until_ended = TRUE };
+  static const SvPrefill prefill = { .prompt = 7, .length = 5 * KNL_SEC, .until_ended = TRUE };
   SvFixture fixture;
   SvEndpointEntry restarted;
   SvEndpoint *endpoint;
@@ -83,7 +83,7 @@
   key_before = endpoint->key;
   sv_endpoint_charge (endpoint, &load, 1);
   sv_endpoint_set_peer (endpoint, 3, &load);
-  sv_fleet_add_prefill (fixture.fleet, &read, &key_before, 1);
+  sv_fleet_add_prefill (fixture.fleet, &prefill, &key_before, 1);
   sv_endpoint_note_loss (endpoint, knl_kernel_now (fixture.kernel));
   restarted = entry_of (&fixture, 2000, 2);
   sv_fleet_update (fixture.fleet, &restarted);
