--- a/endpoint/exchange.c
+++ b/endpoint/exchange.c
@@ -6,7 +6,7 @@
 
 #include "common/settings.h"
 
-/* evhttp's own timeouts are put out of the way: the phases have limits of their own. */
+/* evhttp's own timeout must never fire: each phase of an exchange has its own timeout here. */
 #define LIBRARY_TIMEOUT_SECONDS 1000000
 
 struct EpExchange
@@ -24,11 +24,11 @@
   KnlTime idle_limit;
   gsize answer_bound;
   struct evhttp_connection *connection;
-  struct evhttp_request *request; /* owned by `connection` once made */
+  struct evhttp_request *request; /* owned by `connection` after evhttp_make_request() */
   struct evkeyvalq *answer_headers;
   int status;
   gboolean sent;   /* bytes were handed to the connection */
-  gboolean closed; /* no more events; waits for `later` to be freed */
+  gboolean closed; /* emits no further events; the timer `later` frees it */
   KnlTimerId limit;
   KnlTimerId later;
 };
@@ -57,8 +57,8 @@
 }
 
 /*
- * evhttp goes on using a connection after the callbacks it makes, so freeing
- * one inside them is a use after free. A timer frees it once the stack is empty.
+ * evhttp still uses a connection after its callbacks return, so freeing it
+ * inside one is a use after free. A timer frees it from the event loop instead.
  */
 void
 ep_exchange_close (EpExchange *self)
@@ -104,9 +104,9 @@
 }
 
 /*
- * evhttp does not tell when it hands the request to the connection. Whether a
- * byte can have reached the endpoint decides between "not run" and "unknown",
- * so the connection's output itself is watched.
+ * Whether a byte can have reached the endpoint decides between the outcomes "not
+ * run" and "unknown". evhttp doesn't report when it writes the request to the
+ * connection, so the output buffer is watched.
  */
 static void
 on_output (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *data)
--- a/endpoint/http.c
+++ b/endpoint/http.c
@@ -8,16 +8,19 @@
 #include "endpoint/http_json.h"
 #include "endpoint/http_stream.h"
 
-/* Calls other than streams and services: small bodies, and soon answered or given up on. */
+/* Calls to engines except streams: their bodies are small and their answers quick. */
 #define CALL_CONNECT_LIMIT (1 * KNL_SEC)
 #define CALL_ANSWER_LIMIT  (2 * KNL_SEC)
 #define CALL_ANSWER_BOUND  ((gsize)4 * 1024 * 1024)
 #define ORDER_ANSWER_LIMIT (5 * KNL_SEC)
 
-/* Reports tell whether an engine lives; whoever waits for one has waited before. */
+/*
+ * A report shows whether an engine is alive. An entry asks for one only after a stream has been
+ * silent for its timeout, so this timeout is short.
+ */
 #define REPORT_LIMIT (1 * KNL_SEC)
 
-/* Says that a plain service did not run a call that it answered with 503. */
+/* A plain service adds it to a 503 answer to say that it did not run the call. */
 #define NOT_RUN_HEADER "Alderturn-Not-Run"
 
 typedef struct
@@ -32,7 +35,7 @@
 
 typedef struct Call Call;
 
-/** Tells the asker how a call ended. */
+/* Decodes the answer of a call that has ended and calls back its caller. */
 typedef void (*CallFinish) (Call *call, EpExchangeEnd end, const char *detail);
 
 struct Call
@@ -122,7 +125,7 @@
   };
 }
 
-/* The answer as JSON when it came whole with status 200, or NULL. */
+/* The answer as JSON if it is complete and its status is 200, otherwise NULL. */
 static json_t *
 call_json (Call *call, EpExchangeEnd end)
 {
--- a/endpoint/http_stream.c
+++ b/endpoint/http_stream.c
@@ -7,7 +7,7 @@
 #include "endpoint/exchange.h"
 #include "endpoint/http_json.h"
 
-/* An engine's line holds a few tokens; a longer one is no line of ours. */
+/* A line holds a few tokens; a longer one violates the protocol. */
 #define LINE_LIMIT ((gsize)1024 * 1024)
 
 struct EpStream
@@ -18,11 +18,11 @@
   gpointer owner;
   EpExchange *exchange;
   char *request;
-  GString *line; /* what came of an unfinished line, or of a refusal */
+  GString *line; /* received part of an incomplete line, or the body of a refusal */
   guint64 next_offset;
   gboolean hold;
-  gboolean ended; /* no more events */
-  guint depth;    /* events that run now; the last one out frees an ended stream */
+  gboolean ended; /* emits no further events */
+  guint depth;    /* nested event handlers; when the outermost returns, it frees an ended stream */
 };
 
 static void
@@ -43,8 +43,8 @@
 }
 
 /*
- * A user may close a stream inside its own events. Freeing it there would leave
- * the loop over its lines with freed memory, so the outermost event does it.
+ * A stream may be closed inside its own events. Freeing it there would make the
+ * loop over its lines use freed memory, so the outermost event handler frees it.
  */
 void
 ep_http_stream_free (EpStream *self)
@@ -75,7 +75,7 @@
   self->owner = owner;
 }
 
-/* Leaves all tables before the last event, which may start another stream. */
+/* Unregisters the stream before its last event, because that event may start another stream. */
 static void
 finish (EpStream *self)
 {
@@ -98,7 +98,7 @@
   guint64 count = (guint64)json_integer_value (json_object_get (line, "count"));
   const char *reason = json_string_value (json_object_get (line, "finish"));
 
-  /* A short count is a cut answer that would look whole. */
+  /* A mismatch means lost frames: the answer would look complete but isn't. */
   if (!self->hold && count != self->next_offset)
     {
       fail (self, EP_MALFORMED, FALSE, "wrong count at the end");
@@ -115,7 +115,7 @@
   json_int_t count = json_integer_value (json_object_get (line, "n"));
   const char *text = json_string_value (json_object_get (line, "text"));
 
-  /* A doubled or late frame would give the caller tokens twice, or out of order. */
+  /* A duplicate or late frame would pass tokens to the caller twice or out of order. */
   if (text == NULL || count <= 0 || count > G_MAXINT32 || offset != self->next_offset)
     {
       fail (self, EP_MALFORMED, FALSE, "offset out of order");
@@ -156,7 +156,10 @@
   json_decref (line);
 }
 
-/* Takes bytes up to and with the next line end; FALSE when there is none yet. */
+/*
+ * Appends `data` up to the next line feed, which is dropped, to the current line. FALSE when the
+ * line is still incomplete; `data` has then been consumed.
+ */
 static gboolean
 read_line (EpStream *self, struct evbuffer *data)
 {
--- a/include/endpoint/endpoint.h
+++ b/include/endpoint/endpoint.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * Endpoints as alderturn uses them: model engines and plain services.
- * endpoint/http.h talks to real ones, tests/fakes/memory_engine.h to an engine
- * model in memory.
+ * Client interface for endpoints: model engines and plain services.
+ * endpoint/http.h implements it over HTTP, tests/fakes/memory_engine.h with an
+ * engine model in memory.
  *
- * No callback runs inside the call that asked for it.
+ * Callbacks never run inside the call that they were passed to.
  */
 
 #include "kernel/kernel.h"
@@ -13,24 +13,24 @@
 typedef struct EpClient EpClient;
 typedef struct EpStream EpStream;
 
-/** Handle of a call other than a stream; 0 is none. */
+/** Handle of a call that isn't a stream; 0 means none. */
 typedef guint64 EpCallId;
 
-/** How far a request that did not end well can have got. */
+/** How a request failed, which tells whether the endpoint may have run it. */
 typedef enum
 {
-  EP_NOT_SENT,  /**< no byte of it can have reached the endpoint */
-  EP_REFUSED,   /**< the endpoint said that it did not run it (busy, leaving, unknown model) */
-  EP_FAILED,    /**< the endpoint ran it and said that it failed */
-  EP_CUT,       /**< connection lost or silent; whether it ran or runs is unknown */
-  EP_MALFORMED, /**< another request's frames, offsets out of order, or a wrong count */
+  EP_NOT_SENT,  /**< no byte of the request can have reached the endpoint */
+  EP_REFUSED,   /**< the endpoint reported that it did not run it (busy, leaving, unknown model) */
+  EP_FAILED,    /**< the endpoint ran it and reported that it failed */
+  EP_CUT,       /**< connection lost or silent; whether it ran or still runs is unknown */
+  EP_MALFORMED, /**< frames of another request, offsets out of order, or a wrong count */
 } EpFailureKind;
 
 typedef struct
 {
   EpFailureKind kind;
   gboolean leaving;   /**< the endpoint refused because it is leaving */
-  const char *detail; /**< a short constant or text, valid during the callback */
+  const char *detail; /**< short description, valid during the callback */
 } EpFailure;
 
 /** One generation on an engine. Strings are copied by ep_client_generate(). */
@@ -44,48 +44,48 @@
   gsize prompt_bytes;
   guint64 prompt_tokens;
   guint64 max_tokens;
-  int priority;          /**< higher goes first */
-  guint64 from_offset;   /**< with `resume`: first token wanted */
-  gboolean resume;       /**< go on with a stream that the engine already has */
+  int priority;          /**< higher priorities are served first */
+  guint64 from_offset;   /**< with `resume`: offset of the first token to send */
+  gboolean resume;       /**< resume a stream that the engine already has */
   gboolean hold;         /**< prefill and keep the KV cache; no tokens are generated */
-  const char *imports;   /**< JSON array of {"engine","request"} with held parts, or NULL */
-  KnlTime connect_limit; /**< longest time to connect */
-  KnlTime first_limit;   /**< longest time to the first frame */
-  KnlTime idle_limit;    /**< longest time between later frames */
+  const char *imports;   /**< JSON array of {"engine","request"}: held parts to import, or NULL */
+  KnlTime connect_limit; /**< timeout for connecting */
+  KnlTime first_limit;   /**< timeout for the first frame */
+  KnlTime idle_limit;    /**< timeout between later frames */
 } EpGenerate;
 
-/** Events of a stream; on_end and on_failed end it and free the stream. */
+/** Events of a stream. on_end and on_failed are the last; the stream is freed after them. */
 typedef struct
 {
-  /** The engine has taken the request: from here on it may have run. */
+  /** The engine has accepted the request; from now on it may run it. */
   void (*on_accepted) (EpStream *stream, gpointer data);
-  /** Tokens `offset`, `offset`+1, ...: `text` holds `count` of them. Offsets are consecutive. */
+  /** `text` holds `count` tokens, the first at `offset`. Offsets are consecutive over all calls. */
   void (
       *on_tokens) (EpStream *stream, guint64 offset, guint count, const char *text, gpointer data);
   void (*on_end) (EpStream *stream, guint64 count, const char *finish, gpointer data);
   void (*on_failed) (EpStream *stream, const EpFailure *failure, gpointer data);
 } EpStreamEvents;
 
-/** A request that the engine holds, by its own report. */
+/** A request that the engine lists in its report. */
 typedef struct
 {
   char *request;
-  guint64 tokens; /**< memory it takes */
+  guint64 tokens; /**< memory that it occupies, in tokens */
 } EpRunning;
 
-/** An engine's report of itself. Lags behind the truth by `age`. */
+/** An engine's load report; `age` is how old its values are. */
 typedef struct
 {
   guint64 incarnation; /**< changes when the engine restarts */
   guint64 capacity_tokens;
   guint64 used_tokens;
-  guint64 cached_tokens; /**< part of used_tokens that can be evicted */
+  guint64 cached_tokens; /**< tokens of used_tokens that can be evicted */
   guint capacity_slots;
   guint used_slots;
   guint waiting;
-  guint64 prefill_backlog; /**< tokens yet to be prefilled */
-  double prefill_rate;     /**< tokens a second */
-  double decode_rate;      /**< tokens a second for one stream */
+  guint64 prefill_backlog; /**< tokens still to be prefilled */
+  double prefill_rate;     /**< tokens per second */
+  double decode_rate;      /**< tokens per second of one stream */
   KnlTime age;
   guint64 fence;
   const char *model;
@@ -97,10 +97,10 @@
   guint n_running;
 } EpReport;
 
-/** `report` is NULL on failure and freed after the call. */
+/** `report` is NULL on failure; it is freed after the callback. */
 typedef void (*EpReportFunc) (const EpReport *report, gpointer data);
 
-/** An order to an engine: its whole wanted state, never a change to it. */
+/** An order to an engine. It gives the complete target state, never a difference to it. */
 typedef struct
 {
   guint64 fence;
@@ -113,17 +113,20 @@
 {
   EP_ORDER_DONE,
   EP_ORDER_STALE,   /**< the engine has seen a higher fencing number */
-  EP_ORDER_UNKNOWN, /**< no answer: it may take effect, also later */
+  EP_ORDER_UNKNOWN, /**< no usable answer: the order may have taken effect, or may do so later */
 } EpOrderResult;
 
 typedef void (*EpOrderFunc) (EpOrderResult result, guint64 engine_fence, gpointer data);
 typedef void (*EpDoneFunc) (gboolean acknowledged, gpointer data);
 
-/** A change of what an engine's prefix cache holds. Late, and with gaps in `sequence`. */
+/**
+ * A change of the contents of an engine's prefix cache. Events are published with a delay, and
+ * some never are, which leaves gaps in `sequence`.
+ */
 typedef struct
 {
   guint64 sequence;
-  guint64 prefix; /**< hash of the prefix's blocks, as common/prefix.h makes it */
+  guint64 prefix; /**< hash of the prefix's blocks, as computed by common/prefix.h */
   gboolean added;
 } EpCacheEvent;
 
@@ -133,23 +136,23 @@
                              guint64 last_sequence,
                              gpointer data);
 
-/** A call to a plain service. Strings are copied. */
+/** A call to a plain service. Strings and the body are copied. */
 typedef struct
 {
   const char *address;
   const char *request;
   const char *method; /**< GET, POST, PUT or DELETE */
-  const char *path;   /**< with its query */
+  const char *path;   /**< with the query string */
   const char *content_type;
   const char *body;
   gsize body_bytes;
-  const char *idempotency_key; /**< passed on when not NULL */
+  const char *idempotency_key; /**< sent as Idempotency-Key unless NULL */
   KnlTime connect_limit;
   KnlTime answer_limit;
   gsize answer_bound; /**< bytes; a longer answer is EP_MALFORMED */
 } EpServiceCall;
 
-/** `failure` is NULL when the service answered, whatever its status. */
+/** `failure` is NULL when the service answered, with any status. */
 typedef void (*EpServiceFunc) (const EpFailure *failure,
                                int status,
                                const char *content_type,
@@ -163,9 +166,9 @@
                          const EpGenerate *generate,
                          const EpStreamEvents *events,
                          gpointer data);
-  /** Drops the stream without events. The engine is not told: see `cancel`. */
+  /** Closes the stream without further events. Doesn't cancel it on the engine: see `cancel`. */
   void (*stream_close) (EpClient *client, EpStream *stream);
-  /** Frees what the engine holds for `request`; idempotent. */
+  /** Cancels `request` on the engine, which frees its memory; idempotent. */
   EpCallId (*cancel) (EpClient *client,
                       const char *address,
                       const char *request,
@@ -186,7 +189,7 @@
                             const EpServiceCall *call,
                             EpServiceFunc done,
                             gpointer data);
-  /** Drops the call's callback; what was asked may still happen. */
+  /** Drops the call's callback; the endpoint may still carry out the request. */
   void (*call_cancel) (EpClient *client, EpCallId call);
   void (*free) (EpClient *client);
 } EpClientClass;
--- a/include/endpoint/exchange.h
+++ b/include/endpoint/exchange.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * One HTTP request and its answer on a connection of its own.
+ * One HTTP request and its answer on a dedicated connection.
  *
- * Connections are never shared or reused: a late answer to a request that was
- * given up on can't be taken for the answer to the next one, and a connection
- * that went silent does not harm the retry.
+ * Connections are never shared or reused: a late answer to an abandoned request
+ * can't be mistaken for the answer to the next one, and a connection that went
+ * silent doesn't affect the retry.
  */
 
 #include <event2/event.h>
@@ -17,20 +17,20 @@
 
 typedef enum
 {
-  EP_EXCHANGE_COMPLETE, /**< the whole answer came */
-  EP_EXCHANGE_NOT_SENT, /**< it ended before a byte was handed to the connection */
-  EP_EXCHANGE_CUT,      /**< it ended, or went silent, afterwards */
+  EP_EXCHANGE_COMPLETE, /**< the complete answer was received */
+  EP_EXCHANGE_NOT_SENT, /**< failed before any byte was handed to the connection */
+  EP_EXCHANGE_CUT,      /**< failed or timed out after bytes were handed to the connection */
 } EpExchangeEnd;
 
 typedef struct
 {
-  /** A part of the answer's body; `data` is drained by the callee or dropped afterwards. */
+  /** A piece of the answer's body. What the callee leaves in `data` is discarded. */
   void (*on_data) (EpExchange *exchange, struct evbuffer *data, gpointer user);
-  /** The last event; the exchange is gone after it. `detail` is a constant. */
+  /** The last event; the exchange is freed after it. `detail` is a static string. */
   void (*on_end) (EpExchange *exchange, EpExchangeEnd end, const char *detail, gpointer user);
 } EpExchangeEvents;
 
-/** What to send. Strings and the body are copied. */
+/** The request to send. Strings and the body are copied. */
 typedef struct
 {
   const char *address; /**< "IP:PORT" */
@@ -41,23 +41,23 @@
   const char *request;         /**< sent as Alderturn-Request-Id; or NULL */
   const char *body;
   gsize body_bytes;
-  gsize answer_bound; /**< bytes; 0: none */
+  gsize answer_bound; /**< maximum size of the answer's body in bytes; 0: unlimited */
   KnlTime connect_limit;
-  KnlTime first_limit; /**< from the sending to the first byte of the body */
-  KnlTime idle_limit;  /**< between later bytes */
+  KnlTime first_limit; /**< timeout from sending to the first byte of the body */
+  KnlTime idle_limit;  /**< timeout between later bytes */
 } EpExchangeStart;
 
-/** Starts an exchange; no event comes inside the call. */
+/** Starts an exchange; no event is emitted inside the call. */
 EpExchange *ep_exchange_start (KnlKernel *kernel,
                                struct event_base *base,
                                const EpExchangeStart *start,
                                const EpExchangeEvents *events,
                                gpointer user);
 
-/** Drops the exchange without events; allowed inside its own events. */
+/** Closes the exchange without further events; may be called inside its own events. */
 void ep_exchange_close (EpExchange *exchange);
 
-/** The answer's status, 0 before there is one. */
+/** The status of the answer; 0 until its head has been received. */
 int ep_exchange_status (const EpExchange *exchange);
 
 /** A header of the answer, or NULL. */
--- a/include/endpoint/http.h
+++ b/include/endpoint/http.h
@@ -1,10 +1,10 @@
 #pragma once
 
-/** Endpoints over HTTP as docs/ADAPTERS.md has it, by evhttp. */
+/** Endpoint client over HTTP with evhttp; the protocol is described in docs/ADAPTERS.md. */
 
 #include "endpoint/endpoint.h"
 
 struct event_base;
 
-/** A client whose sockets live on `base` and whose clock is `kernel`'s; both must outlive it. */
+/** Creates a client with its sockets on `base` and its timers on `kernel`; both must outlive it. */
 EpClient *ep_http_client_new (KnlKernel *kernel, struct event_base *base);
--- a/include/endpoint/http_stream.h
+++ b/include/endpoint/http_stream.h
@@ -1,12 +1,12 @@
 #pragma once
 
-/** One generation over HTTP: its request body, and the lines of its answer checked one by one. */
+/** One generation over HTTP: sends the request and validates each line of the answer. */
 
 #include "endpoint/endpoint.h"
 
 struct event_base;
 
-/** Removes a stream that has ended from whoever keeps it. */
+/** Called when a stream has ended, so that its owner drops its reference. */
 typedef void (*EpStreamGoneFunc) (EpStream *stream, gpointer owner);
 
 EpStream *ep_http_stream_new (KnlKernel *kernel,
@@ -15,7 +15,7 @@
                               const EpStreamEvents *events,
                               gpointer data);
 
-/** Called once when the stream ends by itself; not after ep_http_stream_free(). */
+/** Sets the function called once when the stream ends; not called by ep_http_stream_free(). */
 void ep_http_stream_set_owner (EpStream *stream, EpStreamGoneFunc gone, gpointer owner);
 
 void ep_http_stream_free (EpStream *stream);
--- a/include/table/table.h
+++ b/include/table/table.h
@@ -1,12 +1,12 @@
 #pragma once
 
 /**
- * The platform's services as alderturn uses them: the transactional table, the
- * object store, and the list of instances. table/http.h talks to the real
- * thing, tests/fakes/memory_platform.h is one in memory.
+ * Client interface for the platform's services: the transactional table, the
+ * object store, and the list of instances. table/http.h implements it over
+ * HTTP, tests/fakes/memory_platform.h in memory.
  *
- * Every call ends by exactly one callback, never inside the call itself, and at
- * the latest when its time is up; tb_call_cancel() drops the callback.
+ * Every call makes exactly one callback, never inside the call itself, and at
+ * the latest when it times out; tb_call_cancel() drops the callback.
  */
 
 #include "kernel/kernel.h"
@@ -14,7 +14,7 @@
 
 typedef struct TbTable TbTable;
 
-/** Handle of a call that has not ended; 0 is none. */
+/** Handle of a call in flight; 0 means none. */
 typedef guint64 TbCallId;
 
 /** How a call ended. */
@@ -22,8 +22,8 @@
 {
   TB_OK,
   TB_CONFLICT,    /**< a check of the transaction failed; nothing was written */
-  TB_UNAVAILABLE, /**< certainly without effect */
-  TB_UNKNOWN,     /**< the answer is lost; a write may have taken effect, also later */
+  TB_UNAVAILABLE, /**< failed, certainly without effect */
+  TB_UNKNOWN,     /**< the answer was lost; a write may have taken effect, or may do so later */
 } TbStatus;
 
 const char *tb_status_name (TbStatus status);
@@ -33,10 +33,12 @@
 {
   char *key;
   char *value;     /**< text, usually JSON */
-  guint64 version; /**< of the row: changes with each write, rises; 0: the row is not there */
+  guint64 version; /**< increases with each write of the row; 0: the row doesn't exist */
 } TbRow;
 
-/** The row's version must be this one, or the transaction has no effect; 0: it must not be there.
+/**
+ * Precondition: the transaction has no effect unless the row has this version. 0: the row must not
+ * exist.
  */
 typedef struct
 {
@@ -44,14 +46,14 @@
   guint64 version;
 } TbCheck;
 
-/** value NULL: delete. */
+/** A write of one row; `value` NULL deletes it. */
 typedef struct
 {
   const char *key;
   const char *value;
 } TbWrite;
 
-/** All checks hold and all writes happen at once, or nothing happens. */
+/** Atomic: all writes are applied if all checks hold, none otherwise. */
 typedef struct
 {
   const TbCheck *checks;
@@ -60,14 +62,14 @@
   guint n_writes;
 } TbTransaction;
 
-/** `version` is that of all rows written; 0 unless TB_OK. */
+/** `version` is the new version of all rows written; 0 unless TB_OK. */
 typedef void (*TbTransactFunc) (TbStatus status, guint64 version, gpointer data);
 
-/** Rows in order of key, freed after the call; `more` when the limit cut the answer. */
+/** Rows sorted by key, freed after the callback; `more`: the limit cut off further rows. */
 typedef void (
     *TbRowsFunc) (TbStatus status, const TbRow *rows, guint n_rows, gboolean more, gpointer data);
 
-/** Members of the instance list (incarnation 0), freed after the call. */
+/** Members of the instance list (with incarnation 0), freed after the callback. */
 typedef void (*TbInstancesFunc) (TbStatus status,
                                  Alderturn__Member *const *members,
                                  guint n_members,
@@ -79,7 +81,9 @@
                         const TbTransaction *transaction,
                         TbTransactFunc done,
                         gpointer data);
-  /** One row (`prefix` FALSE), or up to `limit` rows that start with `key` and come after `after`.
+  /**
+   * Reads the row `key` (`prefix` FALSE), or up to `limit` rows whose keys start with `key` and
+   * sort after `after` (NULL: from the first).
    */
   TbCallId (*read) (TbTable *platform,
                     const char *key,
@@ -107,14 +111,14 @@
   return platform->klass->transact (platform, transaction, done, data);
 }
 
-/** Reads the row `key`; found: one row, else none. */
+/** Reads the row `key`: one row if it exists, otherwise none. */
 static inline TbCallId
 tb_read (TbTable *platform, const char *key, TbRowsFunc done, gpointer data)
 {
   return platform->klass->read (platform, key, FALSE, NULL, 1, done, data);
 }
 
-/** Reads rows by prefix, a page at a time; `after` NULL: from the first. */
+/** Reads one page of the rows whose keys start with `prefix`; `after` NULL: from the first. */
 static inline TbCallId
 tb_scan (TbTable *platform,
          const char *prefix,
@@ -132,7 +136,7 @@
   return platform->klass->instances (platform, done, data);
 }
 
-/** Drops the call's callback and sets `*call` to 0; what was asked may still happen. */
+/** Drops the call's callback and sets `*call` to 0; the platform may still carry out the call. */
 static inline void
 tb_call_cancel (TbTable *platform, TbCallId *call)
 {
--- a/table/http.c
+++ b/table/http.c
@@ -11,7 +11,7 @@
 #include "common/settings.h"
 #include "table/codec.h"
 
-/* Calls in flight beyond this end as unavailable: a store that hangs must not pile up sockets. */
+/* Further calls fail as unavailable, so that sockets don't accumulate while the store hangs. */
 #define CALLS_LIMIT 512
 
 #define ANSWER_BYTES_LIMIT ((gsize)16 * 1024 * 1024)
@@ -34,7 +34,7 @@
   KnlTime limit;
   TbCallId last_id;
   GHashTable *calls;   /* TbCallId -> Call */
-  GPtrArray *finished; /* struct evhttp_connection: evhttp still uses it when it calls us */
+  GPtrArray *finished; /* struct evhttp_connection to free later; evhttp uses it after callbacks */
   KnlTimerId sweep;
 } TbHttp;
 
@@ -50,7 +50,7 @@
     TbInstancesFunc instances;
   } done;
   gpointer data;
-  struct evhttp_connection *connection; /* NULL: the call could not be begun */
+  struct evhttp_connection *connection; /* NULL: the request could not be started */
   KnlTimerId timer;
   gboolean starting; /* evhttp_make_request() has not returned */
 } Call;
@@ -66,7 +66,7 @@
   g_ptr_array_set_size (http->finished, 0);
 }
 
-/* Takes the call out of the table; its connection is freed in a later turn. */
+/* Removes the call from the table; its connection is freed in a later iteration of the loop. */
 static void
 call_unlink (Call *call)
 {
@@ -116,7 +116,7 @@
 {
   guint64 version = 0;
 
-  /* An answer that says success and can't be read leaves open which version was written. */
+  /* If a success answer is unreadable, the version that was written is unknown. */
   if (status == TB_OK && !tb_codec_parse_version (body, bytes, &version))
     status = TB_UNKNOWN;
   call->done.transact (status, version, call->data);
@@ -158,10 +158,10 @@
 }
 
 /*
- * evhttp calls back with a request whose code is 0 when it could not connect,
- * and without a request when the connection failed later. Only the first is
- * surely without effect; taken for it, the second would have writes made
- * twice and begun records denied.
+ * evhttp passes a request with code 0 when it could not connect, and no request
+ * when the connection failed later. Only the first is certainly without effect.
+ * Treating the second like it would repeat writes, and would report records as
+ * absent that have been begun.
  */
 static void
 on_answer (struct evhttp_request *request, void *data)
@@ -171,7 +171,7 @@
   struct evbuffer *buffer;
   gsize bytes;
 
-  /* A connection refused at once is told from within the call that began it. */
+  /* evhttp_make_request() itself calls back if the connection is refused immediately. */
   if (call->starting)
     {
       g_ptr_array_add (call->platform->finished, call->connection);
@@ -194,8 +194,9 @@
 }
 
 /*
- * A connection that the platform's side has lost track of stays open and
- * silent; the call would hang for good and so would what waits for it.
+ * If the platform loses the state of a connection, it stays open and silent.
+ * Without this timeout the call, and the code that waits for it, would hang
+ * indefinitely.
  */
 static void
 on_limit (gpointer data)
@@ -324,7 +325,7 @@
 
   if (call == NULL)
     return;
-  /* The request would call back into a freed call; the connection takes it along. */
+  /* Freeing the connection frees its request too, which would call back into the freed call. */
   if (call->connection != NULL)
     evhttp_connection_free (call->connection);
   call->connection = NULL;
