--- a/tests/fuzz/libfuzzer.c
+++ b/tests/fuzz/libfuzzer.c
@@ -1,10 +1,10 @@
-/** The same decoders under the compiler's own fuzzer: the first byte chooses one. */
+/** Runs the fuzz targets under libFuzzer; the first byte of the input selects the target. */
 
 #include <stdint.h>
 
 #include "targets.h"
 
-/* The fuzzer's names. NOLINTBEGIN(readability-identifier-naming) */
+/* Names required by libFuzzer. NOLINTBEGIN(readability-identifier-naming) */
 int LLVMFuzzerInitialize (int *argc, char ***argv);
 int LLVMFuzzerTestOneInput (const uint8_t *bytes, size_t length);
 /* NOLINTEND(readability-identifier-naming) */
--- a/tests/fuzz/seeded_test.c
+++ b/tests/fuzz/seeded_test.c
@@ -1,5 +1,7 @@
-/** Each decoder on a fixed row of damaged examples: the sanitizers judge. The seed and the number
- * of runs may be given: seeded_test [SEED [RUNS]]. */
+/**
+ * Runs each decoder on a reproducible sequence of mutated examples; the sanitizers detect faults.
+ * Usage: seeded_test [SEED [RUNS]].
+ */
 
 #include <stdlib.h>
 #include <string.h>
@@ -9,10 +11,10 @@
 #define SEED 20261203
 #define RUNS 4000
 
-/* Damages done to one example, at most. */
+/* Maximum number of mutations of one example. */
 #define DAMAGES_MOST 6
 
-/* Values that decoders convert, compare and multiply. */
+/* Inserted values: limits of number conversions and structural characters. */
 static const char *const tokens[] = {
   "-1", "0", "1e300", "9223372036854775807", "null", "\"\"", "[]", "{}", "\xff", "\r\n", ":", "0x1",
 };
--- a/tests/fuzz/targets.c
+++ b/tests/fuzz/targets.c
@@ -40,7 +40,7 @@
   close (g_file_open_tmp ("alderturn-fuzz-XXXXXX", &settings_path, NULL));
 }
 
-/* The first half and the second half come by themselves, as they do from a socket. */
+/* Feeds the input in two halves, because data from a socket also arrives in pieces. */
 static HtMessage *
 read_message (gboolean responses, const guint8 *bytes, gsize length)
 {
@@ -210,7 +210,7 @@
   NULL,
 };
 
-/* Sender, incarnation, sequence, one load and one prompt. */
+/* First example: sender, incarnation, sequence, one load and one prompt. */
 static const char *const datagrams[] = {
   "\x0d\x01\x02\x03\x04\x10\x07\x18\x09\x3a\x0b\x09\x01\x02\x03\x04\x05\x06\x07\x08\x10\x03"
   "\x42\x0b\x09\x01\x02\x03\x04\x05\x06\x07\x08\x18\x05",
--- a/tests/fuzz/targets.h
+++ b/tests/fuzz/targets.h
@@ -1,13 +1,13 @@
 #pragma once
 
-/** Decoders that read bytes of others, each with examples of what it usually gets. */
+/** Fuzz targets: decoders of untrusted input, each with examples of valid input. */
 
 #include <glib.h>
 
 typedef struct
 {
   const char *name;
-  /** Reads the bytes; it must come back whatever they are. */
+  /** Decodes the bytes; must return normally for any input. */
   void (*run) (const guint8 *bytes, gsize length);
   const char *const *examples; /**< ends with NULL */
 } FuzzTarget;
@@ -15,5 +15,5 @@
 extern const FuzzTarget fuzz_targets[];
 extern const guint fuzz_n_targets;
 
-/** Makes what the targets share; to be called once, before any of them runs. */
+/** Creates the state that the targets share; call it once before running any of them. */
 void fuzz_setup (void);
--- a/tests/standins/completion_client.c
+++ b/tests/standins/completion_client.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Beyond the caller's limit; an entry that has not ended a request by then is at fault. */
+/* Added to the caller's timeout. An entry that has not ended the request by then is at fault. */
 #define LIMIT_MARGIN_S 10
 
 typedef struct
@@ -20,7 +20,7 @@
   KnlTime started_at;
   struct evbuffer *input;
   gboolean event_is_final;
-  json_t *last; /* the final event, or the body of an answer that is no stream */
+  json_t *last; /* the final event, or the body of an answer that isn't a stream */
   SdCompletionResult result;
 } Call;
 
@@ -71,7 +71,10 @@
   json_decref (event);
 }
 
-/* An answer that is no stream is one object; libevent drops what is not taken here. */
+/*
+ * libevent discards what is left in the request's buffer after this callback, so all of it is
+ * moved. An answer that isn't a stream stays in `input` and is parsed as one object at the end.
+ */
 static void
 on_chunk (struct evhttp_request *request, void *data)
 {
@@ -111,7 +114,7 @@
 
   if (request != NULL)
     {
-      /* libevent gives no request at all when a connection breaks later. */
+      /* Status 0: could not connect. If the connection breaks later, `request` is NULL. */
       call->result.unreachable = evhttp_request_get_response_code (request) == 0;
       on_chunk (request, call);
     }
--- a/tests/standins/completion_client.h
+++ b/tests/standins/completion_client.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** One completion asked of an entry as a caller would, its stream checked token by token. */
+/** Requests one completion from an entry like a caller and checks each token of the stream. */
 
 #include "tests/standins/http_server.h"
 
@@ -14,27 +14,28 @@
   gint64 timeout_ms;
 } SdCompletion;
 
-/** How it ended. Strings last until the callback returns. */
+/** Result of a completion. Strings are valid until the callback returns. */
 typedef struct
 {
-  gboolean unreachable; /**< there was no connection, so it certainly did not run */
+  gboolean unreachable; /**< could not connect, so the request certainly did not run */
   const char *request;  /**< alderturn's request id, or "" */
-  const char *outcome;  /**< "done", "not-run", "failed", "unknown"; "cut" without any */
+  const char *outcome;  /**< "done", "not-run", "failed", "unknown"; if none was received: "cut",
+                             or "unreachable" */
   const char *code;     /**< of the error, or "" */
   guint64 tokens;
-  gboolean whole;      /**< done, and each token is the one expected */
-  gboolean wrong;      /**< a token that belongs to no answer to this prompt */
-  KnlTime first_token; /**< since the start; -1: none */
+  gboolean whole;      /**< outcome "done", and exactly the expected tokens were received */
+  gboolean wrong;      /**< received a token that isn't part of the answer to this prompt */
+  KnlTime first_token; /**< time from the start to the first token; -1: none */
   KnlTime total;
 } SdCompletionResult;
 
 typedef void (*SdCompletionFunc) (const SdCompletionResult *result, gpointer data);
 
-/** Strings are copied. */
+/** Starts a completion; strings are copied. */
 void sd_completion_start (SdServer *server,
                           const SdCompletion *completion,
                           SdCompletionFunc done,
                           gpointer data);
 
-/** A prompt of `tokens` tokens made from `seed`; free with g_free. */
+/** Generates a prompt of `tokens` tokens from `seed`; free with g_free(). */
 char *sd_prompt_new (guint64 tokens, guint32 seed);
--- a/tests/standins/engine_imports.c
+++ b/tests/standins/engine_imports.c
@@ -1,16 +1,16 @@
 #include "tests/standins/engine_internal.h"
 
-/* How often a running request makes sure that what it imports is still held. */
+/* How often a running request checks that its imports are still held. */
 #define IMPORT_CHECK KNL_SEC
 
 struct SdImport
 {
   SdEngine *engine;
   json_t *list;
-  char *request; /* that runs with them; NULL: they are checked once */
+  char *request; /* running request to watch the imports for; NULL: check once */
   SdImportsFunc done;
   gpointer data;
-  guint asked; /* engines that have not answered */
+  guint asked; /* outstanding answers */
   gboolean held;
   guint64 tokens;
   KnlTimerId timer;
@@ -51,7 +51,7 @@
   size_t i;
   json_t *item;
 
-  /* One more, so that answers within the calls do not end it before all are asked. */
+  /* One extra, so that answers made inside the calls can't end the check before all are sent. */
   import->asked = (guint)json_array_size (import->list) + 1;
   import->held = TRUE;
   import->tokens = 0;
--- a/tests/standins/engine_internal.h
+++ b/tests/standins/engine_internal.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** What the files of the engine model share; not for its users. */
+/** Private declarations of the engine model. */
 
 #include "tests/standins/engine_model.h"
 
@@ -10,7 +10,7 @@
   REQUEST_PREFILL,
   REQUEST_DECODE,
   REQUEST_HELD,
-  REQUEST_ENDED, /* memory given back; the answer can be read until the hold limit */
+  REQUEST_ENDED, /* memory released; the answer can still be read until the hold limit */
 } RequestState;
 
 typedef struct
@@ -25,12 +25,12 @@
   int priority;
   gboolean hold;
   gboolean crashes;
-  guint64 memory;      /* tokens it takes, or will take when it waits */
-  double prefill_left; /* tokens' worth of work */
+  guint64 memory;      /* in tokens; reserved when the request starts */
+  double prefill_left; /* remaining prefill work, in tokens */
   double decoded;
   guint64 produced;
   guint64 sent;
-  guint64 late_from; /* a token frame kept back by SD_FAULT_LATE_FRAMES */
+  guint64 late_from; /* a token frame delayed by SD_FAULT_LATE_FRAMES */
   guint64 late_to;
   int ran; /* index in SdEngine.ran, or -1 */
   SdReaderFunc reader;
@@ -59,11 +59,11 @@
   guint64 memory_waits;
   gboolean head_waits;
   KnlTimerId timer;
-  gboolean timer_is_idle; /* it only waits for what is kept to lapse */
+  gboolean timer_is_idle; /* no request makes progress; the timer only expires kept answers */
   KnlTime stepped_at;
   gboolean leaving;
   guint64 fence;
-  KnlTime model_ready_at; /* not before */
+  KnlTime model_ready_at; /* earliest time at which the model can serve */
   gboolean weights_missing;
   SdEngineFault fault;
   guint fault_count;
@@ -73,47 +73,47 @@
   gpointer host_data;
   GHashTable *imports; /* set of SdImport */
   gboolean crashed;
-  GQueue snapshots; /* Snapshot, the oldest first */
+  GQueue snapshots; /* Snapshot, oldest first */
   KnlTime changed_at;
   Snapshot *answer;
 };
 
-/** TRUE when `fault` is set; counts one hit. */
+/** TRUE when `fault` is set; uses up one of its remaining occurrences. */
 gboolean sd_engine_hit (SdEngine *engine, SdEngineFault fault);
 
-/** Sends what the reader of `request` has not got yet; at the end also the end. */
+/** Sends the reader of `request` all tokens not yet sent, and the end frame if it has ended. */
 void sd_engine_deliver (SdEngine *engine, Request *request);
 
-/** Sends a frame to the reader, if there is one; end and error frames are the last to it. */
+/** Sends a frame to the reader, if there is one; an end or error frame detaches the reader. */
 void sd_engine_send (Request *request,
                      SdFrameType type,
                      guint64 offset,
                      guint64 count,
                      const char *text);
 
-/** TRUE while no model serves because one is being loaded. */
+/** TRUE while no model can serve because one is being loaded. */
 gboolean sd_engine_is_loading (const SdEngine *engine);
 
-/** Ends the request, unless it has ended, with an error. */
+/** Ends the request with an error unless it has already ended. */
 void sd_engine_fail (SdEngine *engine, const char *request, const char *error);
 
-/** Fails the request once one of its imports is gone. */
+/** Makes the request fail when one of its imports is no longer held. */
 void sd_engine_watch_imports (SdEngine *engine, const char *request, const json_t *imports);
 void sd_import_free (gpointer import);
 
-/** Gives back memory and slot; the record stays. */
+/** Releases the request's memory and slot; its record stays, so that its answer can be read. */
 void sd_engine_release (SdEngine *engine, Request *request);
 
-/** Removes the record. */
+/** Removes and frees the request's record. */
 void sd_engine_drop (SdEngine *engine, Request *request);
 
-/** Notes a change for the lagging report. */
+/** Records a change of the engine's state for the lagging report. */
 void sd_engine_changed (SdEngine *engine);
 
-/** Starts those in line that there is room for. */
+/** Starts waiting requests in queue order while slots and memory are free. */
 void sd_engine_start_waiting (SdEngine *engine);
 
-/** Has the next step happen, as long as there are requests. */
+/** Schedules the next step if there are any requests. */
 void sd_engine_schedule (SdEngine *engine);
 
 void sd_snapshot_free (gpointer snapshot);
--- a/tests/standins/engine_model.c
+++ b/tests/standins/engine_model.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Weights of an adapter, as a part of those of its model. */
+/* Size of an adapter's weights as a fraction of its model's. */
 #define ADAPTER_PART 0.01
 
 const SdEngineSettings sd_engine_defaults = {
@@ -358,7 +358,8 @@
   engine->settings.adapter = adapter;
   if (engine->host == NULL || settings->weight_bytes <= 0)
     return;
-  /* Adapter weights are of no use while the model's are still to come: those are fetched anew. */
+  /* An adapter is useless without its model's weights: a pending fetch of the model is restarted.
+   */
   whole = whole || engine->weights_missing;
   engine->weights_missing = TRUE;
   engine->host->fetch_weights (whole ? model : adapter,
--- a/tests/standins/engine_report.c
+++ b/tests/standins/engine_report.c
@@ -1,6 +1,6 @@
 #include "tests/standins/engine_internal.h"
 
-/* Snapshots are this part of the lag apart. */
+/* Number of snapshots taken within the lag. */
 #define SNAPSHOTS_IN_LAG 4
 
 static void
@@ -77,7 +77,7 @@
   if (last != NULL && now - last->taken_at < lag / SNAPSHOTS_IN_LAG)
     return;
   g_queue_push_tail (&engine->snapshots, snapshot_new (engine));
-  /* Keep one that is older than the lag, to answer with. */
+  /* Keep one snapshot older than the lag: reports are answered from it. */
   while (g_queue_get_length (&engine->snapshots) > 1
          && now - ((Snapshot *)g_queue_peek_nth (&engine->snapshots, 1))->taken_at >= lag)
     sd_snapshot_free (g_queue_pop_head (&engine->snapshots));
--- a/tests/standins/engine_step.c
+++ b/tests/standins/engine_step.c
@@ -3,10 +3,10 @@
 #include <math.h>
 #include <xxhash.h>
 
-/* Tokens in one frame at the most. */
+/* Maximum number of tokens in one frame. */
 #define FRAME_TOKENS 256
 
-/* A stopped process does no work: a step counts for no more than so many steps' time. */
+/* A step does at most this many steps' work: a process that was stopped did none meanwhile. */
 #define LONGEST_STEP 4
 
 guint64
@@ -151,7 +151,7 @@
   engine->crashed = engine->crashed || request->crashes;
 }
 
-/* The first in line that does not fit blocks those behind it, as in engines that serve in order. */
+/* The first request that doesn't fit blocks all behind it, as in engines that serve in order. */
 void
 sd_engine_start_waiting (SdEngine *engine)
 {
--- a/tests/standins/http_internal.h
+++ b/tests/standins/http_internal.h
@@ -1,10 +1,10 @@
 #pragma once
 
-/** What http_server.c and program.c share; not for the programs. */
+/** Private declarations shared by http_server.c and program.c. */
 
 #include "tests/standins/http_server.h"
 
-/** Takes requests at the server's address; FALSE when that can't be had (logged). */
+/** Listens at the server's address; logs and returns FALSE when it can't bind to it. */
 gboolean sd_server_listen (SdServer *server);
 
 void sd_exchange_free (gpointer exchange);
--- a/tests/standins/http_server.c
+++ b/tests/standins/http_server.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Streams are quiet while a long prompt is prefilled, and hung ones for good. */
+/* Streams are silent while a long prompt is prefilled, and hung exchanges indefinitely. */
 #define CONNECTION_TIMEOUT_S (24 * 3600)
 
 void
@@ -19,7 +19,7 @@
   g_free (exchange);
 }
 
-/* TRUE: ends the exchange, whose request is to be answered. */
+/* Ends and frees the exchange. Returns its request, to be answered, or NULL if disconnected. */
 static struct evhttp_request *
 forget (SdExchange *exchange)
 {
@@ -34,8 +34,8 @@
 }
 
 /*
- * libevent hands a request back when its connection breaks before the answer:
- * it must be freed here, or each caller that gives up leaks one.
+ * When a connection breaks before the answer, libevent detaches the request and
+ * leaves it to us: without freeing it here, each client that disconnects leaks one.
  */
 static void
 on_connection_closed (struct evhttp_connection *connection, void *data)
@@ -223,7 +223,7 @@
     evhttp_send_reply_end (request);
 }
 
-/* Not inside of the request's own callback, where libevent still uses the connection. */
+/* Runs from a timer: inside the request's own callback libevent still uses the connection. */
 static void
 drop_now (gpointer data)
 {
@@ -286,8 +286,8 @@
 }
 
 /*
- * Not left to libevent's free_on_completion: that never frees a connection that
- * could not be made, and a caller that tries again and again would leak each.
+ * libevent's free_on_completion isn't used because it never frees a connection
+ * that could not be established: each retry would leak one.
  */
 void
 sd_client_free (gpointer data)
--- a/tests/standins/http_server.h
+++ b/tests/standins/http_server.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** What the stand-in programs share: settings, event loop, HTTP server, signals, registration. */
+/** Framework of the stand-in programs: settings, event loop, HTTP server, signals, registration. */
 
 #include "common/settings.h"
 #include "kernel/kernel.h"
@@ -11,7 +11,7 @@
 #include <jansson.h>
 #include <stddef.h>
 
-/** Rows of a program's table of settings; `type` is the struct that `field` is in. */
+/** Rows of a program's settings table; `type_` is the struct that contains `field`. */
 #define SD_ADDRESS(type_, flag, field, optional_, text)                                            \
   {                                                                                                \
     .name = (flag), .type = CM_SETTING_ADDRESS, .offset = offsetof (type_, field),                 \
@@ -44,48 +44,48 @@
 
 typedef struct SdServer SdServer;
 
-/** One request on its way to an answer. Every exchange is ended by reply, end, drop or hang. */
+/** A request being answered. Every exchange must be ended by reply, end, drop or hang. */
 typedef struct
 {
   SdServer *server;
-  struct evhttp_request *request; /* NULL once the client is gone */
+  struct evhttp_request *request; /* NULL once the client has disconnected */
   const char *path;
-  json_t *body; /**< of the request; an empty object when it is no JSON */
+  json_t *body; /**< of the request; an empty object when it isn't valid JSON */
   struct evkeyvalq query;
-  void (*on_closed) (gpointer data); /* the client went away while a stream was open */
+  void (*on_closed) (gpointer data); /* the client disconnected before the exchange ended */
   gpointer closed_data;
   gboolean streams;
 } SdExchange;
 
-/** A path that ends in "/" stands for all below it; the last row has no path. */
+/** A path that ends in "/" matches all paths below it; the last row has no path. */
 typedef struct
 {
-  int methods; /**< of enum evhttp_cmd_type, added up */
+  int methods; /**< bits of enum evhttp_cmd_type */
   const char *path;
   void (*answer) (SdExchange *exchange, gpointer server);
 } SdRoute;
 
 #define SD_ANY_METHOD (~0)
 
-/** What a program is; functions may be NULL. */
+/** Description of a program; functions may be NULL. */
 typedef struct
 {
   const char *name;
-  const char *kind; /**< in the platform's list of instances; NULL: not in it */
+  const char *kind; /**< in the platform's instance list; NULL: the program isn't listed */
   const char *summary;
   const CmSetting *settings;
-  const SdRoute *routes; /**< NULL: it serves nothing */
+  const SdRoute *routes; /**< NULL: the program doesn't listen */
   gboolean (*start) (gpointer server);
-  void (*leave) (gpointer server); /**< takes no new work any more */
+  void (*leave) (gpointer server); /**< refuse new work from now on */
   gboolean (*is_idle) (gpointer server);
   void (*clear) (gpointer server);
 } SdProgram;
 
-/** First member of every program's struct, which its settings are fields of. */
+/** First member of every program's struct; the settings are fields of that struct. */
 struct SdServer
 {
   const SdProgram *program;
-  char *address; /* strings of the settings */
+  char *address; /* this and the following strings are settings */
   char *advertised_address;
   char *platform_address;
   char *name;
@@ -95,7 +95,7 @@
   gboolean leaving;
   gboolean draining;
   gboolean removing;
-  int status; /* of the process */
+  int status; /* exit status of the process */
   KnlTimerId retry;
   struct event_base *base;
   KnlRuntime *runtime;
@@ -106,21 +106,24 @@
   GHashTable *clients;  /* set of SdClient */
 };
 
-/** The whole of main(): `server` is the program's struct, all zero. */
+/**
+ * Body of main(): parses the settings, runs the program and returns its exit status. `server` is
+ * the program's struct; its SdServer must be zeroed.
+ */
 int sd_server_main (SdServer *server, const SdProgram *program, int argc, char **argv);
 
-/** Says in the list of instances that it leaves, and takes no new work. */
+/** Marks the instance as leaving in the instance list and refuses new work. */
 void sd_server_leave (SdServer *server);
 void sd_server_stop (SdServer *server);
 
-/** A parameter of the query, or `fallback`. */
+/** A query parameter, or `fallback`. */
 const char *sd_exchange_query (const SdExchange *exchange, const char *name, const char *fallback);
 const char *sd_exchange_header (const SdExchange *exchange, const char *name);
 
-/** The body as it came; `*data` lasts as long as the exchange. */
+/** The raw request body; returns its size. `*data` is valid as long as the exchange. */
 gsize sd_exchange_bytes (const SdExchange *exchange, const char **data);
 
-/** Answers with JSON, which is taken over, and ends the exchange. */
+/** Answers with JSON and ends the exchange; takes ownership of `body`. */
 void sd_exchange_reply (SdExchange *exchange, int status, json_t *body);
 void sd_exchange_reply_bytes (SdExchange *exchange,
                               int status,
@@ -128,26 +131,29 @@
                               const char *body,
                               gsize bytes);
 
-/** Answers with an error's word, or without any with an empty object. */
+/** Answers with {"error": ERROR}, or with an empty object when `error` is NULL. */
 void sd_exchange_refuse (SdExchange *exchange, int status, const char *error);
 
-/** Answers 200 or 400, as to a fault that is known or not. */
+/** Answers a request to set a fault: 200 if the fault is known, 400 otherwise. */
 void sd_exchange_confirm (SdExchange *exchange, gboolean known);
 
-/** A part of a stream, which on_closed ends early; then any number of them, and end. */
+/**
+ * Sends a piece of a streamed answer; sd_exchange_end() ends it. If the client disconnects earlier,
+ * on_closed is called.
+ */
 void sd_exchange_send (SdExchange *exchange, const char *text, gsize bytes);
 void sd_exchange_end (SdExchange *exchange);
 
 /** Closes the connection without an answer. */
 void sd_exchange_drop (SdExchange *exchange);
 
-/** Never answers; the connection stays open until the client closes it. */
+/** Never answers: the connection stays open until the client closes it. */
 void sd_exchange_hang (SdExchange *exchange);
 
 /** The JSON in a buffer, or NULL. */
 json_t *sd_json_parse (struct evbuffer *input);
 
-/** A number, text or truth of a JSON object, or `fallback`. */
+/** A member of a JSON object; `fallback` (FALSE for booleans) if absent or of another type. */
 gint64 sd_json_number (const json_t *object, const char *name, gint64 fallback);
 const char *sd_json_text (const json_t *object, const char *name, const char *fallback);
 gboolean sd_json_true (const json_t *object, const char *name);
@@ -155,7 +161,7 @@
 /** Index of `name` in a table of names, or -1. */
 int sd_name_index (const char *const *names, guint count, const char *name);
 
-/** A connection to elsewhere, for one request. Owned by the server. */
+/** An outgoing connection for one request. Owned by the server. */
 typedef struct
 {
   SdServer *server;
@@ -164,8 +170,8 @@
 } SdClient;
 
 /**
- * Sends `request` to "IP:PORT" with `body`, which is taken over; NULL: none. A
- * connection refused at once ends the request within the call, `*client` is set before.
+ * Sends `request` to `address` ("IP:PORT") with `body` (NULL: none), whose ownership it takes. If
+ * the connection is refused immediately, the request ends inside the call; `*client` is set first.
  */
 void sd_client_start (SdClient **client,
                       SdServer *server,
@@ -176,16 +182,19 @@
                       json_t *body,
                       int timeout_s);
 
-/** Drops the request without an answer. */
+/** Closes the connection and frees the client; the request's callback isn't called. */
 void sd_client_drop (SdClient *client);
 
-/** The request has ended: frees the client soon, but not inside of libevent's callback. */
+/** Frees the client after its request has ended, but not inside libevent's callback. */
 void sd_client_end (SdClient *client);
 
-/** Calls `done` with the status of the answer (0: none) and its JSON (may be NULL). */
+/** `status` of the answer (0: none) and its JSON `body` (may be NULL; freed after the callback). */
 typedef void (*SdAnswerFunc) (int status, json_t *body, gpointer data);
 
-/** The same for a whole answer in JSON; NULL: it has ended within the call. */
+/**
+ * Sends a request and passes the JSON of its answer to `done`. Takes ownership of `body`. Returns
+ * NULL if the request ended inside the call.
+ */
 SdClient *sd_server_ask (SdServer *server,
                          const char *address,
                          enum evhttp_cmd_type method,
--- a/tests/standins/instance_list_model.h
+++ b/tests/standins/instance_list_model.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** The platform's list of instances, as a model: what readers see lags behind what is. */
+/** Model of the platform's instance list: readers see changes with a lag. */
 
 #include "kernel/kernel.h"
 
@@ -19,16 +19,19 @@
   const char *state;   /**< "live" or "leaving" */
 } SdInstance;
 
-/** Readers see a change after `lag`. */
+/** Creates an empty list; readers see each change after `lag`. */
 SdInstanceList *sd_instance_list_new (KnlKernel *kernel, KnlTime lag);
 void sd_instance_list_free (SdInstanceList *list);
 
-/** Adds or replaces the one of that kind and name; other strings may be NULL. Copied. */
+/** Adds or replaces the instance with this kind and name; other strings may be NULL. Copied. */
 void sd_instance_list_put (SdInstanceList *list, const SdInstance *instance);
 void sd_instance_list_remove (SdInstanceList *list, const char *kind, const char *name);
 
-/** While frozen, readers see no change, however old. */
+/** While the list is frozen, readers see no further changes, not even those older than the lag. */
 void sd_instance_list_set_frozen (SdInstanceList *list, gboolean frozen);
 
-/** What a reader sees now, by kind and name: the answer of docs/ADAPTERS.md, a new reference. */
+/**
+ * The list as a reader sees it now, sorted by kind and name, in the format of docs/ADAPTERS.md. A
+ * new reference.
+ */
 json_t *sd_instance_list_visible (SdInstanceList *list);
--- a/tests/standins/prefix_cache_model.c
+++ b/tests/standins/prefix_cache_model.c
@@ -16,7 +16,7 @@
   KnlKernel *kernel;
   KnlTime lag;
   guint gap_percent;
-  GQueue recent;      /* guint64 *, the block used last at the head */
+  GQueue recent;      /* guint64 *, the most recently used block at the head */
   GHashTable *blocks; /* hash -> its link in `recent` */
   GQueue events;      /* Event */
   guint64 sequence;
@@ -134,7 +134,7 @@
 {
   guint64 fitting = MIN (blocks->len, limit / SD_BLOCK_TOKENS);
 
-  /* Backwards: a block is of use only with all before it, so the first must be evicted last. */
+  /* Last block first: a block is useless without those before it, which must be evicted later. */
   for (guint64 i = fitting; i-- > 0;)
     {
       guint64 *hash;
--- a/tests/standins/prefix_cache_model.h
+++ b/tests/standins/prefix_cache_model.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** An engine's prefix cache, as a model: blocks in order of use, and the events it publishes. */
+/** Model of an engine's prefix cache: blocks in LRU order, and the events that it publishes. */
 
 #include "endpoint/endpoint.h"
 
@@ -10,24 +10,24 @@
 
 typedef struct SdPrefixCache SdPrefixCache;
 
-/** Events can be read after `lag`; of a hundred, `gap_percent` are never published. */
+/** Events can be read after `lag`; `gap_percent` percent of them are never published. */
 SdPrefixCache *sd_prefix_cache_new (KnlKernel *kernel, KnlTime lag, guint gap_percent);
 void sd_prefix_cache_free (SdPrefixCache *cache);
 void sd_prefix_cache_set_gaps (SdPrefixCache *cache, guint gap_percent);
 
-/** Hashes of the whole blocks of a prompt: guint64, the first block's first. */
+/** Chained hashes (guint64) of the full blocks of a prompt, in order; free the array. */
 GArray *sd_prompt_blocks (const char *prompt, gsize bytes);
 
 guint64 sd_prefix_cache_tokens (const SdPrefixCache *cache);
 
-/** Tokens of the longest cached run of `blocks` from the first on; marks them as used. */
+/** Tokens of the longest cached prefix of `blocks`; marks these blocks as used. */
 guint64 sd_prefix_cache_match (SdPrefixCache *cache, const GArray *blocks);
 
-/** Puts in as many of the first `blocks` as `limit` tokens hold, evicting what was used least. */
+/** Adds as many of the first `blocks` as fit in `limit` tokens; evicts the least recently used. */
 void sd_prefix_cache_add (SdPrefixCache *cache, const GArray *blocks, guint64 limit);
 
 /** Evicts until at most `limit` tokens are cached. */
 void sd_prefix_cache_shrink (SdPrefixCache *cache, guint64 limit);
 
-/** Appends the published EpCacheEvent after `after`; returns the last number that can be read. */
+/** Appends the readable events after sequence `after`; returns the last readable sequence. */
 guint64 sd_prefix_cache_events (SdPrefixCache *cache, guint64 after, GArray *events);
--- a/tests/standins/program.c
+++ b/tests/standins/program.c
@@ -9,15 +9,15 @@
 #define DRAIN_CHECK   (50 * KNL_MSEC)
 #define ASK_TIMEOUT_S 5
 
-/* Settings of every endpoint's stand-in; its kind is the name's default. */
+/* Settings of every endpoint's stand-in; "name", whose default is the kind, is added to them. */
 static const CmSetting endpoint_settings[] = {
-  SD_ADDRESS (SdServer, "listen-address", address, FALSE, "Where to answer"),
+  SD_ADDRESS (SdServer, "listen-address", address, FALSE, "Address to listen at"),
   SD_ADDRESS (SdServer,
               "advertised-address",
               advertised_address,
               TRUE,
-              "Where the platform says that it is; the listen address unless given"),
-  SD_ADDRESS (SdServer, "platform-address", platform_address, TRUE, "Registers there"),
+              "Address in the instance list; default: the listen address"),
+  SD_ADDRESS (SdServer, "platform-address", platform_address, TRUE, "Platform to register with"),
   SD_TEXT (SdServer, "zone", zone, "a", "Availability zone"),
   SD_TEXT (SdServer, "region", region, "local", "Region"),
   SD_TEXT (SdServer, "label", label, "", "Label that services choose endpoints by"),
@@ -39,7 +39,7 @@
   return table;
 }
 
-/* -1: run, otherwise the exit status. */
+/* Returns -1 to run the program, otherwise its exit status. */
 static int
 parse_settings (SdServer *server, const CmSetting *table, int argc, char **argv)
 {
@@ -75,7 +75,7 @@
     server->retry = knl_timer_start (server->kernel, RETRY_DELAY, put_instance, server);
 }
 
-/* Tells the platform of the instance, again and again until it hears. */
+/* Registers the instance with the platform; retried until it succeeds. */
 static void
 put_instance (gpointer data)
 {
@@ -150,7 +150,7 @@
 void
 sd_server_stop (SdServer *server)
 {
-  /* Ends of streams may still be in libevent's buffers: without this their callers see a cut. */
+  /* Flush the ends of streams from libevent's buffers; otherwise their callers see a cut stream. */
   const struct timeval flush = { .tv_usec = 100000 };
 
   event_base_loopexit (server->base, &flush);
--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -1,4 +1,4 @@
-/** standin-engine: a model engine over HTTP, run by the engine model. */
+/** standin-engine: serves the engine model over HTTP. */
 
 #include "common/log.h"
 #include "tests/standins/engine_model.h"
@@ -8,12 +8,12 @@
 #include <string.h>
 #include <unistd.h>
 
-/* A rate of 0 would divide by it. */
+/* Rates are divisors, so they must not be 0. */
 #define LEAST_RATE 0.001
 
 #define EXPORT_TIMEOUT_S 5
 
-/* Weights come after those of all engines that asked before. */
+/* The weight store serves one download after the other, so a fetch may wait for many others. */
 #define WEIGHTS_TIMEOUT_S 3600
 #define WEIGHTS_RETRY     KNL_SEC
 
@@ -23,28 +23,32 @@
   SdEngineSettings settings; /* times in milliseconds */
   SdEngine *engine;
   guint streams;
-  SdClient *weights;        /* the call that fetches them */
-  KnlTimerId weights_retry; /* after a refusal */
+  SdClient *weights;        /* request for weights in flight */
+  KnlTimerId weights_retry; /* after a failed request */
   const char *weights_name; /* interned */
   double weights_bytes;
 } Program;
 
 static const CmSetting settings[] = {
-  SD_TEXT (Program, "model", settings.model, "any", "Loaded at the start; any: all until ordered"),
+  SD_TEXT (Program,
+           "model",
+           settings.model,
+           "any",
+           "Loaded at start; any: accept all until ordered"),
   SD_TEXT (Program, "adapter", settings.adapter, "", "Adapter loaded at the start"),
   SD_TEXT (Program, "role", settings.role, "any", "any, short or long"),
   SD_NUMBER (Program, "capacity-tokens", settings.capacity_tokens, "400000", "Memory in tokens"),
   SD_NUMBER (Program, "slots", settings.slots, "32", "Requests in one batch"),
-  SD_NUMBER (Program, "max-waiting", settings.max_waiting, "64", "Requests before it is busy"),
-  SD_RATE (Program, "prefill-rate", settings.prefill_rate, "20000", "Tokens a second, of all"),
-  SD_RATE (Program, "decode-rate", settings.decode_rate, "50", "Tokens a second, of a stream"),
-  SD_RATE (Program, "clock-factor", settings.clock_factor, "1", "Engine's seconds in a real one"),
-  SD_FLAG (Program, "check-fence", settings.checks_fence, "Refuse orders with an old number"),
-  SD_NUMBER (Program, "hold-ms", settings.hold_limit, "30000", "How long unread answers stay"),
+  SD_NUMBER (Program, "max-waiting", settings.max_waiting, "64", "Maximum length of the queue"),
+  SD_RATE (Program, "prefill-rate", settings.prefill_rate, "20000", "Tokens per second in total"),
+  SD_RATE (Program, "decode-rate", settings.decode_rate, "50", "Tokens per second of a stream"),
+  SD_RATE (Program, "clock-factor", settings.clock_factor, "1", "Engine seconds per real second"),
+  SD_FLAG (Program, "check-fence", settings.checks_fence, "Refuse orders with a stale number"),
+  SD_NUMBER (Program, "hold-ms", settings.hold_limit, "30000", "How long unread answers are kept"),
   SD_NUMBER (Program, "load-lag-ms", settings.load_lag, "500", "Age of the load report"),
-  SD_NUMBER (Program, "cache-lag-ms", settings.cache_lag, "500", "Age of published cache events"),
-  SD_NUMBER (Program, "model-load-ms", settings.model_load_time, "2000", "Least time to load"),
-  SD_RATE (Program, "weight-bytes", settings.weight_bytes, "1e8", "Of a model, to be fetched"),
+  SD_NUMBER (Program, "cache-lag-ms", settings.cache_lag, "500", "Lag of published cache events"),
+  SD_NUMBER (Program, "model-load-ms", settings.model_load_time, "2000", "Minimum time to load"),
+  SD_RATE (Program, "weight-bytes", settings.weight_bytes, "1e8", "Size of a model's weights"),
   { .name = NULL },
 };
 
@@ -102,7 +106,7 @@
   end_stream (exchange);
 }
 
-/* The exchange reads the stream of the request that its body names. */
+/* Prepares the exchange for streaming: it is detached from the engine if its client disconnects. */
 static void
 open_stream (SdExchange *exchange)
 {
@@ -119,7 +123,7 @@
   sd_exchange_refuse (exchange, status, error);
 }
 
-/* Calls take the query's parameters with the body. */
+/* Adds the query parameters to the body, where sd_engine_call() expects them. */
 static void
 add_query (SdExchange *exchange)
 {
@@ -265,7 +269,7 @@
   sd_exchange_confirm (exchange, known);
 }
 
-/* As a fault of the engine's own would: no answer, no clean-up. */
+/* Like a real crash: exits without answers or clean-up. */
 static void
 crash (gpointer data)
 {
@@ -287,7 +291,7 @@
 
 static void ask_weights (gpointer data);
 
-/* The store may be down or slow for long; until it answers no model serves. */
+/* The store may be down or slow for a long time; no model is served until it answers. */
 static void
 on_weights (int status, json_t *body, gpointer data)
 {
@@ -409,6 +413,6 @@
 {
   Program program = { .settings = sd_engine_defaults };
 
-  program.settings.role = NULL; /* the command line's strings are freed */
+  program.settings.role = NULL; /* setting strings are freed, and the default is a literal */
   return sd_server_main (&program.server, &engine_program, argc, argv);
 }
--- a/tests/standins/standin_load.c
+++ b/tests/standins/standin_load.c
@@ -1,4 +1,4 @@
-/** standin-load: callers of the entries, and what they get, by prompt length. */
+/** standin-load: load generator; sends requests to entries and reports results by prompt length. */
 
 #include "tests/standins/completion_client.h"
 
@@ -19,7 +19,7 @@
   gint32 most;
 } LengthClass;
 
-/* Prompt lengths after the users' own: one in fifty is longer than 100,000 tokens. */
+/* Distribution of the users' prompt lengths: one in fifty is longer than 100,000 tokens. */
 static const LengthClass classes[] = {
   { "4k", 70, 1000, 4000 },
   { "16k", 20, 4001, 16000 },
@@ -40,7 +40,7 @@
 typedef struct
 {
   SdServer server;
-  char *entry_addresses; /* settings, down to the seed */
+  char *entry_addresses; /* this and the fields up to `seed` are settings */
   char *workspace_tokens;
   char *service;
   gboolean once;
@@ -52,12 +52,12 @@
   gint64 duration_ms;
   gint64 seed;
   char **tokens;
-  char **seeds;    /* entries of the command line */
-  json_t *entries; /* as they tell of themselves */
+  char **seeds;    /* addresses of entries from the command line */
+  json_t *entries; /* latest list of entries, initially the seeds */
   KnlTime entries_until;
   gboolean asking;
-  guint asked;    /* in vain, one after the other */
-  GQueue waiting; /* Call that need a fresh list of entries */
+  guint asked;    /* consecutive failed requests for the list of entries */
+  GQueue waiting; /* Call that wait for a fresh list of entries */
   GRand *rand;
   guint started;
   guint running;
@@ -71,17 +71,17 @@
            "entry-address",
            entry_addresses,
            NULL,
-           "Entries to ask first, IP:PORT, divided by commas"),
-  SD_TEXT (Program, "token", workspace_tokens, NULL, "Workspace tokens, divided by commas"),
+           "Initial entries, IP:PORT, separated by commas"),
+  SD_TEXT (Program, "token", workspace_tokens, NULL, "Workspace tokens, separated by commas"),
   SD_TEXT (Program, "service", service, NULL, "Name of the service"),
-  SD_FLAG (Program, "once", once, "Ask one completion of --tokens and print how it went"),
+  SD_FLAG (Program, "once", once, "Request one completion of --tokens and print its result"),
   SD_NUMBER (Program, "tokens", prompt_tokens, "1000", "Length of the prompt of --once"),
   SD_NUMBER (Program, "max-tokens", max_tokens, "20", "Length of an answer"),
-  SD_NUMBER (Program, "timeout-ms", timeout_ms, "60000", "Limit of a request"),
-  SD_RATE (Program, "rate", rate, "10", "Requests started a second"),
-  SD_NUMBER (Program, "count", count, "100", "Requests in all"),
-  SD_NUMBER (Program, "duration-ms", duration_ms, "60000", "No request is started after that"),
-  SD_NUMBER (Program, "seed", seed, "1", "Of the mix of lengths and of the prompts"),
+  SD_NUMBER (Program, "timeout-ms", timeout_ms, "60000", "Timeout of a request"),
+  SD_RATE (Program, "rate", rate, "10", "Requests started per second"),
+  SD_NUMBER (Program, "count", count, "100", "Total number of requests"),
+  SD_NUMBER (Program, "duration-ms", duration_ms, "60000", "No request is started later"),
+  SD_NUMBER (Program, "seed", seed, "1", "Seed of lengths and prompts"),
   { .name = NULL },
 };
 
@@ -146,7 +146,7 @@
     }
 }
 
-/* The entries of the last answer may all have been replaced since: ask those of the start too. */
+/* All entries of the latest list may have been replaced meanwhile: alternate with the seeds. */
 static void
 ask_entries (gpointer data)
 {
@@ -224,7 +224,7 @@
     sd_server_stop (&program->server);
 }
 
-/* What certainly did not run is asked of another entry, as callers are told to do. */
+/* A request that certainly did not run is sent to another entry, as callers are told to do. */
 static gboolean
 retries (Call *call, const SdCompletionResult *result)
 {
--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -22,10 +22,14 @@
 } Platform;
 
 static const CmSetting settings[] = {
-  SD_ADDRESS (Platform, "listen-address", server.address, FALSE, "Where to answer"),
-  SD_NUMBER (Platform, "instances-lag-ms", instances_lag_ms, "500", "Age of the instance list"),
-  SD_RATE (Platform, "writes-per-second", writes_per_second, "500", "Most transactions; 0: any"),
-  SD_RATE (Platform, "reads-per-second", reads_per_second, "2000", "Most reads; 0: any"),
+  SD_ADDRESS (Platform, "listen-address", server.address, FALSE, "Address to listen at"),
+  SD_NUMBER (Platform, "instances-lag-ms", instances_lag_ms, "500", "Lag of the instance list"),
+  SD_RATE (Platform,
+           "writes-per-second",
+           writes_per_second,
+           "500",
+           "Limit of transactions; 0: unlimited"),
+  SD_RATE (Platform, "reads-per-second", reads_per_second, "2000", "Limit of reads; 0: unlimited"),
   SD_RATE (Platform, "weight-bytes-per-second", weights.rate, "1e9", "Rate of the weight store"),
   { .name = NULL },
 };
@@ -99,11 +103,11 @@
   knl_timer_start (kernel, wait, answer_weights, exchange);
 }
 
-/* Calls of the store, which its faults hit. */
+/* Calls that the store's faults apply to. */
 static const struct
 {
   const char *prefix;
-  gboolean is_table; /* the table itself refuses calls */
+  gboolean is_table; /* the table model itself refuses the call */
   void (*answer) (SdExchange *exchange, Platform *platform);
 } store_calls[] = {
   { "/table/transact", TRUE, transact },
--- a/tests/standins/standin_proxy.c
+++ b/tests/standins/standin_proxy.c
@@ -23,28 +23,28 @@
   GHashTable *connections; /* set of Connection */
   guint64 accepted;
   KnlTime delay;
-  gint64 cut_after; /* bytes from the target that new connections pass; -1: all */
+  gint64 cut_after; /* new connections are cut after so many bytes from the target; -1: never */
   gboolean freeze_new[2];
 } Program;
 
 static const CmSetting settings[] = {
-  SD_ADDRESS (Program, "listen-address", listen_address, FALSE, "Where connections are taken"),
-  SD_ADDRESS (Program, "target-address", target_address, FALSE, "Where they go on to"),
-  SD_ADDRESS (Program, "control-address", server.address, FALSE, "Where faults are set"),
+  SD_ADDRESS (Program, "listen-address", listen_address, FALSE, "Address to listen at"),
+  SD_ADDRESS (Program, "target-address", target_address, FALSE, "Address to forward to"),
+  SD_ADDRESS (Program, "control-address", server.address, FALSE, "Address to set faults at"),
   { .name = NULL },
 };
 
 typedef struct Connection Connection;
 
-/* One direction: 0 from the client to the target, 1 back. */
+/* One direction: index 0 from the client to the target, 1 from the target to the client. */
 typedef struct
 {
   Connection *connection;
   struct bufferevent *from;
   struct bufferevent *to;
   gboolean frozen;
-  gboolean ended; /* nothing more comes from `from` */
-  guint delayed;  /* pieces that wait for their time */
+  gboolean ended; /* `from` has been closed by its peer */
+  guint delayed;  /* pieces waiting for their delay */
 } Direction;
 
 struct Connection
@@ -53,7 +53,7 @@
   struct bufferevent *ends[2]; /* client, target */
   Direction directions[2];
   gint64 cut_after;
-  gboolean closed; /* freed once no delayed piece refers to it */
+  gboolean closed; /* freed when no delayed piece refers to it */
 };
 
 typedef struct
@@ -154,7 +154,7 @@
   knl_timer_start (program->server.kernel, program->delay, forward_late, piece);
 }
 
-/* `data` is the direction that reads from this end; what is written to it belongs to the other. */
+/* `data` is the direction that reads from `to`; the bytes written to `to` are the other one's. */
 static void
 on_written (struct bufferevent *to, void *data)
 {
@@ -261,7 +261,7 @@
   g_list_free (connections);
 }
 
-/* A connection that was frozen or is to be cut stays so: only new ones are whole again. */
+/* A frozen connection, or one with a cut pending, stays so: resets apply to new ones only. */
 static gboolean
 set_fault (Program *program, const char *mode, const json_t *body)
 {
--- a/tests/standins/standin_service.c
+++ b/tests/standins/standin_service.c
@@ -1,4 +1,4 @@
-/** standin-service: a plain service over HTTP. */
+/** standin-service: serves the model of a plain service over HTTP. */
 
 #include "tests/standins/http_server.h"
 #include "tests/standins/service_model.h"
--- a/tests/standins/table_model.c
+++ b/tests/standins/table_model.c
@@ -4,7 +4,7 @@
 
 typedef struct
 {
-  double rate; /* calls a second, 0: unlimited */
+  double rate; /* calls per second, 0: unlimited */
   double left;
   KnlTime filled_at;
 } Bucket;
@@ -140,7 +140,7 @@
   g_tree_replace (table->rows, row->key, row);
 }
 
-/* The first check that does not hold, or NULL. */
+/* The first check that fails, or NULL. */
 static const json_t *
 failed_check (SdTable *table, const json_t *checks)
 {
@@ -199,7 +199,7 @@
                                           "version", (json_int_t)row->version));
 }
 
-/* TRUE: there are more. */
+/* Appends up to `limit` rows; TRUE when there are more. */
 static gboolean
 scan (SdTable *table, const char *prefix, const char *after, guint limit, json_t *rows)
 {
--- a/tests/standins/weight_store_model.h
+++ b/tests/standins/weight_store_model.h
@@ -1,14 +1,14 @@
 #pragma once
 
-/** The platform's rate-limited weight store, as a model: downloads share its rate in turn. */
+/** Model of the platform's rate-limited weight store: serves one download after the other. */
 
 #include "kernel/kernel.h"
 
 typedef struct
 {
-  double rate; /**< bytes a second */
+  double rate; /**< bytes per second */
   KnlTime free_at;
 } SdWeightStore;
 
-/** Takes a download that begins `now`; the time until its last byte has come. */
+/** Queues a download at time `now`; returns the time until its last byte is sent. */
 KnlTime sd_weight_store_take (SdWeightStore *store, KnlTime now, double bytes);
--- a/tests/unit/engine_model_test.c
+++ b/tests/unit/engine_model_test.c
@@ -1,5 +1,4 @@
-/** The engine model's streams and memory, and the fleet in memory that runs it behind an EpClient.
- */
+/** Engine model: streams and memory; the in-memory fleet that runs it behind an EpClient. */
 
 #include "suite.h"
 
@@ -34,7 +33,7 @@
   char *prompt;
   Answer answers[3];
   gboolean reported;
-  EpReport report; /* without its lists */
+  EpReport report; /* its strings and lists are no longer valid */
   guint acknowledged;
   guint ran;
   guint finished;
@@ -128,7 +127,7 @@
   };
 }
 
-/* Sends it as request `i`, and lets `time` pass. */
+/* Sends `generate`, records its answer in answers[i] and advances the clock by `time`. */
 static void
 send (Fixture *f, guint i, const EpGenerate *generate, KnlTime time)
 {
@@ -151,7 +150,7 @@
   return fk_fleet_engine (f->fleet, ADDRESS);
 }
 
-/* Time to first token of a short prompt that comes just after a long one. */
+/* Time to first token of a short prompt sent one second after a long one. */
 static KnlTime
 short_behind_long (int priority)
 {
@@ -199,8 +198,8 @@
 }
 
 /*
- * Each row: what is sent, how it is refused or fails, and whether it counts as run.
- * Symptom without the rule: an entry says "not run" of a request that ran.
+ * Each row: a request and how it is refused or fails. None may be recorded as run: otherwise an
+ * entry reports "not run" for a request that ran.
  */
 static void
 test_refusals_by_table (void)
@@ -241,7 +240,7 @@
     }
 }
 
-/* Each row: a connection's fault, how the stream ends, and what the engine ran of it. */
+/* Each row: a connection fault, how the stream ends, and whether the engine ran the request. */
 static void
 test_connection_faults_by_table (void)
 {
@@ -321,9 +320,8 @@
 }
 
 /*
- * Symptom: an engine fills up with requests whose callers are gone.
- * Sequence: the caller's cancel is lost on its way.
- * Cause reproduced here: the memory stays taken until somebody cancels again.
+ * An engine fills up with requests of disconnected callers when their cancels are lost.
+ * Checks that the model reproduces this: the memory stays in use until a second cancel.
  */
 static void
 test_a_lost_cancel_leaves_memory_taken (void)
@@ -344,9 +342,9 @@
 }
 
 /*
- * Symptom: requests that ran beside a poisonous one fail with it.
- * Sequence: a prompt crashes the engine's process; it starts again.
- * Cause reproduced here: all its connections are cut, its memory is new.
+ * A prompt that crashes the engine's process makes all requests running next to it fail.
+ * Checks that the model reproduces this: all connections are cut, and the restarted process has
+ * empty memory and a new incarnation.
  */
 static void
 test_a_crash_cuts_all_and_a_restart_has_a_new_incarnation (void)
@@ -374,9 +372,9 @@
 }
 
 /*
- * Symptom: a request that its caller gave up on runs after all.
- * Sequence: the engine is stopped, a request is sent, its limit passes, the engine goes on.
- * Cause reproduced here: what was sent is carried out when the process goes on.
+ * A request can run after its caller has timed out: it is sent while the engine's process is
+ * stopped, times out, and the process resumes.
+ * Checks that the model reproduces this: a resumed engine carries out requests already received.
  */
 static void
 test_a_frozen_engine_runs_late_what_was_given_up_on (void)
@@ -395,7 +393,7 @@
   CU_ASSERT_EQUAL (sd_engine_taken (engine_of (&f)), 0);
 }
 
-/* A prompt over one engine's memory: its first part held on another engine, then imported. */
+/* A prompt too large for one engine: its first part is held on another engine, then imported. */
 static void
 test_held_parts_are_imported_and_their_loss_is_told (void)
 {
--- a/tests/unit/table_model_test.c
+++ b/tests/unit/table_model_test.c
@@ -1,4 +1,4 @@
-/** The platform's models: table, its faults, the lagging list, and the client in memory. */
+/** Platform models: the table and its faults, the lagging instance list, the in-memory client. */
 
 #include "suite.h"
 
@@ -16,7 +16,7 @@
   guint calls;
   TbStatus status;
   guint64 version;
-  char *keys; /* of the rows read, joined */
+  char *keys; /* rows read, as "KEY=VALUE;..." */
   gboolean more;
   guint members;
 } Fixture;
@@ -123,7 +123,7 @@
   CU_ASSERT_FALSE (f.more);
 }
 
-/* Each row: a fault, what the writer is told, and whether the write is there in the end. */
+/* Each row: a fault, the status that the writer gets, and whether the write has taken effect. */
 static void
 test_faults_by_table (void)
 {
@@ -164,9 +164,9 @@
 }
 
 /*
- * Symptom: a paused lease holder's renewal lands after another has taken over.
- * Sequence: it sends the write, is frozen, and the write is carried out meanwhile.
- * Cause reproduced here: the store's kernel carries out what is under way.
+ * A paused lease holder's renewal can take effect after another instance has taken the lease:
+ * the holder sends the write and is frozen, and the store carries the write out meanwhile.
+ * Checks that the model reproduces this: requests in flight are carried out by the store's kernel.
  */
 static void
 test_a_write_takes_effect_while_its_sender_is_frozen (void)
--- a/tests/unit/tb_http_test.c
+++ b/tests/unit/tb_http_test.c
@@ -1,4 +1,4 @@
-/** The platform over real sockets on loopback: what each kind of answer counts as. */
+/** Platform client over loopback sockets: the status that each kind of answer is mapped to. */
 
 #include "kernel/event_runtime.h"
 #include "table/http.h"
@@ -11,11 +11,11 @@
 #include <event2/listener.h>
 #include <string.h>
 
-/* What the server does with a call. */
+/* How the server handles a request. */
 typedef enum
 {
   SERVER_ANSWERS,
-  SERVER_CLOSES, /* after the request has come */
+  SERVER_CLOSES, /* after it has received the request */
   SERVER_IS_SILENT,
   SERVER_IS_NOT_THERE,
 } Behaviour;
@@ -23,7 +23,7 @@
 typedef struct
 {
   Behaviour behaviour;
-  const char *head; /* status line's rest */
+  const char *head; /* status line without the HTTP version */
   const char *body;
   TbStatus transact;
   TbStatus read;
@@ -39,7 +39,7 @@
   const Row *row;
   TbTable *platform;
   gboolean ended;
-  gboolean inside; /* the call has not returned */
+  gboolean inside; /* the client function has not returned */
   TbStatus status;
   guint64 version;
   guint n_rows;
@@ -119,7 +119,7 @@
   knl_event_runtime_free (fixture->runtime);
   if (fixture->listener != NULL)
     evconnlistener_free (fixture->listener);
-  /* Lets connections that are still open be closed by their events. */
+  /* Connections that are still open are closed and freed by their events. */
   event_base_loop (fixture->base, EVLOOP_NONBLOCK);
   event_base_free (fixture->base);
   g_free (fixture);
@@ -177,9 +177,9 @@
 }
 
 /*
- * Symptom: a write is made twice, or reported as not done though it was.
- * Sequence: the connection is refused, closed before the answer, or silent for good.
- * Cause: failures that surely had no effect are not told from those that may have had one.
+ * Guards against a write that is made twice, or reported as not done though it was.
+ * Happens when the connection is refused, closed before the answer, or silent indefinitely, and
+ * failures that certainly had no effect aren't distinguished from those that may have had one.
  */
 static void
 test_statuses_by_table (void)
