--- a/tests/unit/tb_http_test.c
+++ b/tests/unit/tb_http_test.c
@@ -232,7 +232,7 @@
 
 static const SuiteCase cases[] = {
   { "statuses by table", test_statuses_by_table },
-  { "a cancelled call says nothing", test_a_cancelled_call_says_nothing },
+  { "a cancelled call makes no callback", test_a_cancelled_call_says_nothing },
 };
 
 SUITE_MAIN ("tb_http", cases)
