--- a/gateway/follow.c
+++ b/gateway/follow.c
@@ -17,19 +17,19 @@
 #define CONFIG_WAIT_SHARED (8 * KNL_SEC)
 
 /* The fraction of the read calls allowed to all instances together that configuration feeds may
- * use. Beyond the allowance the store refuses calls of all instances, just when lists must be read
- * again. */
+ * use. Once the allowance is exceeded, the store refuses calls of all instances, and that would
+ * happen just when lists must be read again. */
 #define CONFIG_READS_FRACTION 0.5
 
 #define ENDPOINTS_WAIT (8 * KNL_SEC)
 
-/* Consecutive changes are collected into one answer: when everything starts, endpoints register
- * one by one, and each registration would cost a call of each instance. The delay is shorter for
- * the configuration, since callers wait for it; a removed endpoint may be sent requests for
- * seconds. */
+/* Delays that coalesce consecutive changes into one answer: when the whole system starts, endpoints
+ * register one by one, and each registration would cost a call of each instance. The delay is
+ * shorter for the configuration, since callers wait for it, whereas a leaving endpoint may still be
+ * sent requests for seconds. */
 #define CONFIG_COALESCE_DELAY (100 * KNL_MSEC)
 /* The fraction of the time in which a configuration must be in force that may be spent on
- * collecting consecutive changes; fetching and applying it must fit into the rest. */
+ * coalescing consecutive changes; fetching and applying it must fit into the remainder. */
 #define CONFIG_COALESCE_FRACTION 0.25
 #define ENDPOINTS_COALESCE_DELAY (400 * KNL_MSEC)
 
@@ -38,7 +38,8 @@
 {
 }
 
-/* The `-us` fields are ages: of the query, and of the first and the last byte of its answer. */
+/* The fields asked-us, first-byte-us and received-us are the ages of the query and of the first and
+ * the last byte of its answer. */
 static void
 log_decoded (const Gateway *self, const SvConfig *config)
 {
@@ -190,7 +191,8 @@
   sv_core_confirm (((Gateway *)data)->core, at);
 }
 
-/* Without a wait the store answers at once, and its answer confirms the time of the query. */
+/* Without a wait the store answers at once, and its answer is a confirmation for the time of the
+ * query. */
 static void
 confirm_query_store (gpointer data)
 {
@@ -295,7 +297,7 @@
   sv_fleet_end_list (((Gateway *)data)->fleet);
 }
 
-/* Rate-limited, as another writer may fill the table. */
+/* Rate-limited, since a faulty writer may fill the table with such rows. */
 static void
 log_unreadable (Gateway *self, const PlRow *row)
 {
@@ -330,8 +332,8 @@
     }
   else
     {
-      /* The row wasn't written by an endpoint. It describes none, so the endpoint that it
-       * described before is removed too. */
+      /* The row wasn't written by an endpoint. The endpoint that an earlier version of the row
+       * described is removed. */
       log_unreadable (self, row);
       sv_fleet_remove (self->fleet, row->key);
     }
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -59,8 +59,8 @@
   KnlJobId member_job;
   KnlTimerId member_timer;
   KnlTime poll_delay;
-  gboolean is_registered;    /* the last list read had the current row of this instance */
-  gboolean is_listed;        /* the pages read so far had it */
+  gboolean is_registered;    /* the last complete list contained this instance's current row */
+  gboolean is_listed;        /* the pages of the current list read so far contained that row */
   guint64 era;               /* newest era seen of the store; 0: none */
   CmSeries *era_series;      /* counts eras after the first */
   KnlTimerId register_timer; /* writes this instance's row again */
@@ -105,8 +105,8 @@
 /** Called when the list of members has been read completely. */
 void gateway_note_members_read (Gateway *self);
 
-/** The peer that the feeds query has older data than other peers, or none: queries the store for a
- * while. Does nothing if the store is the source already. */
+/** Makes the feeds query the store for a while, because their source has older data than other
+ * peers or none. Does nothing if the store is the source already. */
 void gateway_query_store (Gateway *self);
 
 /** A call to the current source of the feeds failed. */
--- a/gateway/main.c
+++ b/gateway/main.c
@@ -9,15 +9,16 @@
 
 #define PROGRAM "alderturn-gateway"
 
-/* How often readiness, removed endpoints, the settings file and the end of a drain are checked. */
+/* Interval between checks of readiness, removed endpoints, the settings file and the drain's end.
+ */
 #define TICK_INTERVAL (250 * KNL_MSEC)
 
 /* After the signal to stop, callers may arrive for as long as they keep old answers of the
  * directory: three times their time to live. */
 #define MIN_DRAIN_PERIOD (6500 * KNL_MSEC)
 
-/* The part of the grace period that remains when unfinished requests are ended with an error, and
- * when the process exits at the latest. */
+/* Time before the end of the grace period at which unfinished requests are ended with an error, and
+ * at which the process exits at the latest. */
 #define DRAIN_ANSWER_MARGIN (900 * KNL_MSEC)
 #define DRAIN_EXIT_MARGIN   (300 * KNL_MSEC)
 
@@ -55,7 +56,7 @@
 
 /* An instance that is cut off from the store alone depends on its peers' confirmations: if they
  * stop, it has to refuse all requests. It serves the callers that arrive, but isn't ready, so that
- * the directory names other instances. */
+ * the directory lists other instances. */
 gboolean
 gateway_is_ready (const Gateway *self)
 {
@@ -107,7 +108,7 @@
   sv_core_note_suspect (((Gateway *)data)->core, fingerprint);
 }
 
-/* Idle connections lead to the previous process of the endpoint. */
+/* Idle connections to the address belong to the endpoint's previous process. */
 static void
 on_endpoint_replaced (SvEndpoint *endpoint, gpointer data)
 {
--- a/gateway/members.c
+++ b/gateway/members.c
@@ -10,7 +10,7 @@
  * reads the list again after MIN_POLL_DELAY, when instances that started at the same time have
  * registered too: of two instances the later one sees the earlier one and introduces itself. An
  * instance that is still listed from an earlier start is known to all, and becomes ready 0.1 s
- * sooner. After a failed read the delay grows by POLL_BACKOFF_FACTOR, eight, up to MAX_POLL_DELAY.
+ * sooner. After a failed read the delay is multiplied by POLL_BACKOFF_FACTOR, up to MAX_POLL_DELAY.
  * Later only the relay of each cell reads the list, to discover instances of other cells and to
  * remove rows of instances of its own cell that no longer run. */
 #define MIN_POLL_DELAY      (40 * KNL_MSEC)
--- a/gateway/settings.h
+++ b/gateway/settings.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/** Command line settings of alderturn-gateway; the rest is in the platform's settings file. */
+/** Command line settings of alderturn-gateway; all other settings are in the platform's settings
+ * file. */
 
 #include "common/settings.h"
 
--- a/gateway/source.c
+++ b/gateway/source.c
@@ -33,8 +33,8 @@
 #define QUERY_STORE_PERIOD (2 * KNL_SEC)
 #define QUERY_PEERS_PERIOD (2 * KNL_SEC)
 
-/* The fraction of the time in which a configuration must be in force for which the link may be
- * busy with sending it to the instances that query this one. */
+/* The fraction of the time in which a configuration must be in force that the link may spend on
+ * sending it to the instances that query this one. */
 #define SEND_FRACTION 0.25
 
 /* `address`: link address of a peer; NULL: the store. */
--- a/gateway/turns.c
+++ b/gateway/turns.c
@@ -5,7 +5,7 @@
 
 #include "gateway.h"
 
-/* Callback names in the metric; further ones are counted together. */
+/* Number of callback names in the metric; callbacks beyond it are counted together. */
 #define MAX_NAMES 128
 
 static const CmMetricDef callback_metric = {
--- a/http/client.c
+++ b/http/client.c
@@ -8,8 +8,8 @@
 
 #include "http/socket.h"
 
-/* The fraction of the idle time allowed by the peer that is used, since the peer's clock started
- * earlier. */
+/* Fraction of the idle time advertised by the peer for which connections are kept: the peer began
+ * to count it earlier. */
 #define IDLE_FRACTION 0.6
 
 /* Idle time where the peer advertises none. */
@@ -189,7 +189,7 @@
 }
 
 /* The answer to another request has ended; the next message on the connection may answer this one.
- * Returns FALSE if the connection should be given up. */
+ * Returns FALSE if the connection should be closed. */
 static gboolean
 skip_answer (Connection *self)
 {
--- a/http/server.c
+++ b/http/server.c
@@ -44,7 +44,8 @@
   struct bufferevent *stream;
   HtReader *reader;
   HtCall *call;         /* the request being answered */
-  KnlTime since;        /* end of the last answer, or first byte of the request being read */
+  KnlTime since;        /* start of the current timeout: connection accepted, first byte of
+                           a request, end of an answer, or last progress in sending */
   gboolean reading;     /* part of a request has been received */
   gboolean closing;     /* waits only until the answer is sent and the caller has closed its side */
   gboolean half_closed; /* everything is sent, and the sending side is shut down */
@@ -273,7 +274,7 @@
   if (self->closing && !self->half_closed)
     shut_down_sending (self);
   else if (!self->closing)
-    process_input (self); /* a next request may wait for the answer before it to be sent */
+    process_input (self); /* the next request may have waited until this answer was sent */
 }
 
 static void
--- a/include/http/client.h
+++ b/include/http/client.h
@@ -72,7 +72,7 @@
  * made, and `exchange` is no longer valid. */
 void ht_exchange_cancel (HtExchange *exchange);
 
-/** Whether the request was sent on a connection reused from an earlier one. */
+/** Whether the request was sent on a connection that an earlier exchange had used. */
 gboolean ht_exchange_is_reused (const HtExchange *exchange);
 
 /** Closes the idle connections to an address. */
--- a/include/http/message.h
+++ b/include/http/message.h
@@ -17,11 +17,12 @@
 
 typedef struct
 {
-  char method[16]; /**< requests */
-  char *target;    /**< requests: path and query as received */
-  guint status;    /**< responses */
+  char method[16]; /**< of requests only */
+  char *target;    /**< of requests only: path and query as received */
+  guint status;    /**< of responses only */
   gboolean keep_alive;
-  gboolean supports_chunked; /**< requests: the caller's HTTP version allows chunked answers */
+  gboolean supports_chunked; /**< of requests only: the caller's HTTP version allows chunked
+                                answers */
   GString *text;             /**< all names and values, each ended by a NUL */
   GArray *fields;            /**< HtField */
   GString *body;             /**< the complete body if the reader collects it, else empty */
--- a/include/platform/answer.h
+++ b/include/platform/answer.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * Parser for the store's answers about rows. The rows' values are kept in their
- * encoded form, so that they can be decoded in slices or forwarded.
+ * Parser for the store's answers that contain rows. Values stay encoded, so that
+ * they can be decoded in slices or forwarded.
  */
 
 #include <glib.h>
--- a/include/platform/boot.h
+++ b/include/platform/boot.h
@@ -18,7 +18,7 @@
   char *link_address;      /**< where datagrams of other instances are received */
   char *metrics_address;
   char *store_address;
-  guint strength;        /**< CPU of the process, in thousandths of a core */
+  guint strength;        /**< CPU time available to the process, in thousandths of a core */
   double link_rate;      /**< bytes a second of the machine's network link */
   guint store_reads;     /**< store reads a second that all instances together may make */
   guint max_files;       /**< file descriptors that the process may open */
--- a/include/platform/store.h
+++ b/include/platform/store.h
@@ -32,7 +32,7 @@
  * returns; to keep it, the callback sets `*answer` to NULL. */
 typedef void (*PlCallFunc) (PlStatus status, PlAnswer **answer, gpointer data);
 
-/** How much of the answer to a call has been received. */
+/** Progress in receiving the answer to a call. */
 typedef struct
 {
   KnlTime head_at; /**< when its head was received; 0: not yet */
@@ -56,8 +56,8 @@
 
 void pl_store_on_era (PlStore *store, PlEraFunc func, gpointer data);
 
-/** The newest known era; 0: none. Answers of earlier eras, and answers that state none although one
- * is known, end as PL_UNKNOWN. A read whose answer has a new era ends as PL_NOT_RETAINED. */
+/** The newest known era; 0: none. Once an era is known, calls whose answers state an earlier era or
+ * none end as PL_UNKNOWN. A read whose answer states a new era ends as PL_NOT_RETAINED. */
 guint64 pl_store_era (const PlStore *store);
 void pl_store_note_era (PlStore *store, guint64 era);
 
--- a/tests/fakes/row_store.h
+++ b/tests/fakes/row_store.h
@@ -1,10 +1,10 @@
 #pragma once
 
 /**
- * Fake of the platform's store on loopback with the subset that is used: rows of
- * tables, lists of a table, feeds that wait for changes, and transactions. A
- * test can make it drop its history, refuse requests, drop connections, or not
- * answer.
+ * Fake of the platform's store on loopback, with the operations that the project
+ * uses: lists of a table's rows, feeds that wait for changes, and transactions. A
+ * test can make it truncate its history, refuse requests, drop connections, or
+ * not answer.
  */
 
 #include <event2/event.h>
--- a/tests/faults/gateway_test.c
+++ b/tests/faults/gateway_test.c
@@ -234,7 +234,7 @@
   return row_store_has (((Fixture *)data)->store, "instances", "n1");
 }
 
-/* Guards against an instance that peers can't discover any more because the store has lost its row
+/* Guards against an instance that peers can no longer discover because the store has lost its row
  * in a restoration. */
 static void
 test_a_lost_row_is_written_again (void)
--- a/tests/unit/pl_decode_test.c
+++ b/tests/unit/pl_decode_test.c
@@ -99,7 +99,7 @@
 }
 
 /*
- * Guards against requests that use an outdated route, or none, after one route
+ * Guards against requests that use a stale route, or none, after one route
  * has changed and the previous configuration was freed: the reused routes were
  * mixed up, or freed with the configuration that they came from.
  */
@@ -499,12 +499,12 @@
   { "a configuration", test_config },
   { "no configuration", test_no_config },
   { "entries of endpoints", test_endpoints },
-  { "settings are found wrong all at once", test_settings_findings },
+  { "all errors of the settings are reported", test_settings_findings },
   { "forwarded fields", test_forwarded_fields },
-  { "what an answer says", test_replies },
-  { "limits that answers name", test_limits },
-  { "words of leaving", test_words_of_leaving },
-  { "rests that answers ask for", test_rests_that_answers_ask_for },
+  { "fields of an endpoint's answer", test_replies },
+  { "limits advertised in answers", test_limits },
+  { "the signal that an endpoint leaves", test_words_of_leaving },
+  { "delays in Retry-After", test_rests_that_answers_ask_for },
 };
 
 SUITE_MAIN ("pl_decode", cases)
--- a/tests/unit/pl_mirror_test.c
+++ b/tests/unit/pl_mirror_test.c
@@ -14,7 +14,8 @@
 #define STEP           (10 * KNL_MSEC)
 #define TEST_TIMEOUT_S 20
 
-/* A long value. Its answer is twice as long as text, and more than half of it packed. */
+/* Length of a large value. Its answer is less than twice as long as text, and more than half as
+ * long when packed. */
 #define LARGE_BYTES ((gsize)256 << 10)
 
 /* Time within which a change passes the store's feed and the mirror's. */
@@ -440,8 +441,8 @@
   pl_rows_free (rows);
 }
 
-/* Number of the events that can happen to the store, and of the steps that are tried in every order
- * of them. */
+/* Number of kinds of steps, such as a write or an outage, and length of the sequences of steps. All
+ * possible sequences are tried. */
 #define WALK_EVENTS 6
 #define WALK_STEPS  4
 
@@ -546,8 +547,8 @@
 
 static const SuiteCase cases[] = {
   { "pages of a list", test_pages_of_a_list },
-  { "changes are passed on", test_changes_are_passed_on },
-  { "a new list is passed on as changes", test_a_new_list_is_passed_on_as_changes },
+  { "changes are forwarded", test_changes_are_passed_on },
+  { "a new list is forwarded as changes", test_a_new_list_is_passed_on_as_changes },
   { "a client may have newer rows than the mirror", test_client_with_newer_rows },
   { "a mirror that does not follow the store refuses requests",
     test_mirror_not_following_the_store_refuses },
@@ -555,7 +556,7 @@
   { "clients that accept no packing get text", test_clients_without_packing_get_text },
   { "an era passes through the mirror", test_an_era_passes_through_the_mirror },
   { "a mirror of an older era answers nothing", test_a_mirror_of_an_older_era_answers_nothing },
-  { "every order ends alike", test_every_order_ends_alike },
+  { "rows are equal after any order of events", test_every_order_ends_alike },
 };
 
 SUITE_MAIN ("pl_mirror", cases)
--- a/tests/unit/pl_store_test.c
+++ b/tests/unit/pl_store_test.c
@@ -235,7 +235,7 @@
 }
 
 /*
- * Guards against an instance that uses an outdated list for minutes: the store dropped its history
+ * Guards against an instance that uses a stale list for minutes: the store dropped its history
  * while changes were made, and the feed continued at the newest version without reading the table
  * again.
  */
@@ -580,17 +580,17 @@
 
 static const SuiteCase cases[] = {
   { "changes arrive", test_changes_arrive },
-  { "confirmed as of the question", test_confirmed_as_of_the_question },
-  { "history gone", test_history_gone },
-  { "the store is away", test_store_outage },
+  { "confirmed for the time of the request", test_confirmed_as_of_the_question },
+  { "truncated history", test_history_gone },
+  { "the store is unavailable", test_store_outage },
   { "a poll replaces a waiting request", test_poll_now },
   { "large values come in slices", test_large_values_come_in_slices },
   { "interrupted values", test_interrupted_values },
   { "the poll delay follows the processing time", test_poll_delay_follows_the_processing_time },
-  { "versions are given out again", test_versions_are_given_out_again },
+  { "a restored store assigns the same versions", test_versions_are_given_out_again },
   { "an era begins within a list", test_an_era_begins_within_a_list },
-  { "answers of no known era", test_answers_of_no_known_era },
-  { "eras in a row", test_eras_in_a_row },
+  { "answers of an unknown or earlier era", test_answers_of_no_known_era },
+  { "consecutive eras", test_eras_in_a_row },
   { "refusals need no era", test_refusals_need_no_era },
 };
 
--- a/tests/unit/pl_transfer_test.c
+++ b/tests/unit/pl_transfer_test.c
@@ -1,4 +1,4 @@
-/** Answers of the store, or of a mirror, that take long to arrive. */
+/** Feeds whose answers from the store or a mirror take long to arrive. */
 
 #include <signal.h>
 #include <string.h>
@@ -312,12 +312,13 @@
 }
 
 static const SuiteCase cases[] = {
-  { "an answer that keeps coming is not given up",
+  { "an answer that makes progress is not cancelled",
     test_an_answer_that_keeps_coming_is_not_given_up },
-  { "an answer under way is not asked for again", test_an_answer_under_way_is_not_asked_for_again },
-  { "an answer that stops is asked for again", test_an_answer_that_stops_is_asked_for_again },
-  { "an answer that trickles is asked for again", test_an_answer_that_trickles_is_asked_for_again },
-  { "a head alone is no answer under way", test_a_head_alone_is_no_answer_under_way },
+  { "an answer being received is not requested again",
+    test_an_answer_under_way_is_not_asked_for_again },
+  { "an answer that stalls is requested again", test_an_answer_that_stops_is_asked_for_again },
+  { "an answer that trickles is requested again", test_an_answer_that_trickles_is_asked_for_again },
+  { "a head alone does not count as receiving", test_a_head_alone_is_no_answer_under_way },
 };
 
 SUITE_MAIN ("pl_transfer", cases)
