--- a/tests/unit/pl_decode_test.c
+++ b/tests/unit/pl_decode_test.c
@@ -459,7 +459,7 @@
   {
     guint status;
     const char *value; /* NULL: the answer has no such field */
-    KnlTime rest;
+    KnlTime retry_after;
   } rows[] = {
     { 503, "3", 3 * KNL_SEC },
     { 503, "0.25", 250 * KNL_MSEC },
@@ -486,7 +486,7 @@
       if (rows[i].value != NULL)
         ht_message_add (answer, "Retry-After", rows[i].value);
       dialect->klass->read_reply (dialect, answer, &reply);
-      CU_ASSERT_EQUAL (reply.rest, rows[i].rest);
+      CU_ASSERT_EQUAL (reply.rest, rows[i].retry_after);
     }
   pl_dialect_free (dialect);
 }
--- a/tests/unit/pl_mirror_test.c
+++ b/tests/unit/pl_mirror_test.c
@@ -116,12 +116,12 @@
 {
   static const HtLimits limits = { 16384, 1 << 20 };
   static guint port = 27000;
-  struct timeval limit = { .tv_sec = TEST_TIMEOUT_S };
+  struct timeval timeout = { .tv_sec = TEST_TIMEOUT_S };
   g_autofree char *address = NULL;
 
   *self = (Fixture){ .base = event_base_new (), .clock = knl_paused_clock_new () };
   self->test_timeout = evtimer_new (self->base, on_test_timeout, NULL);
-  evtimer_add (self->test_timeout, &limit);
+  evtimer_add (self->test_timeout, &timeout);
   knl_paused_clock_advance (self->clock, 10 * KNL_SEC);
   self->kernel = knl_kernel_new (knl_paused_clock_runtime (self->clock), 5);
   self->client = ht_client_new (self->kernel, self->base, &limits, 60 * KNL_SEC);
@@ -348,7 +348,7 @@
 {
   static const struct
   {
-    gsize limit;
+    gsize max_unsent;
     guint n_served; /* of the two clients */
   } rows[] = {
     { G_MAXSIZE, 2 }, { 4 * LARGE_BYTES, 2 }, { LARGE_BYTES, 1 }, { LARGE_BYTES / 2, 1 }, { 40, 1 },
@@ -365,7 +365,7 @@
       follower_open (&third, fixture.peer);
       pl_mirror_set_open (fixture.mirror, TRUE);
       advance (&fixture, PROPAGATION_TIME);
-      pl_mirror_set_max_unsent (fixture.mirror, rows[i].limit);
+      pl_mirror_set_max_unsent (fixture.mirror, rows[i].max_unsent);
       row_store_put (fixture.rows, "a", row);
       advance (&fixture, PROPAGATION_TIME);
       CU_ASSERT_EQUAL ((fixture.second.n_unavailable == 0) + (third.n_unavailable == 0),
--- a/tests/unit/pl_store_test.c
+++ b/tests/unit/pl_store_test.c
@@ -353,7 +353,7 @@
       row_store_put (fixture.rows, "b", "{\"v\":\"2\"}");
       wait_value (&fixture, "b", "2");
       knl_paused_clock_advance (fixture.clock, rows[i].delay - KNL_MSEC);
-      for (guint iterate = 0; iterate < 20; iterate++)
+      for (guint round = 0; round < 20; round++)
         event_base_loop (fixture.base, EVLOOP_NONBLOCK);
       CU_ASSERT_EQUAL (row_store_n_feeds (fixture.rows), 1);
       knl_paused_clock_advance (fixture.clock, 2 * KNL_MSEC);
