--- a/gateway/era.c
+++ b/gateway/era.c
@@ -22,6 +22,7 @@
   pl_feed_note_era (self->endpoints_feed);
 }
 
+/* The random delay after a new era has passed: registers this instance again. */
 static void
 on_enter_due (gpointer data)
 {
--- a/gateway/members.c
+++ b/gateway/members.c
@@ -147,6 +147,7 @@
     request_page (self, ((PlAnswerRow *)g_ptr_array_index (rows, rows->len - 1))->key);
 }
 
+/* Applies the next SLICE_ROWS rows of the current page. Returns whether rows remain. */
 static gboolean
 take_slice (gpointer data)
 {
@@ -187,6 +188,7 @@
   self->member_call = pl_store_get (self->store, PL_MEMBER_TABLE, from, on_page, self);
 }
 
+/* Reads the list of members, unless this instance is registered and isn't its cell's relay. */
 static void
 look (gpointer data)
 {
--- a/tests/unit/pl_mirror_test.c
+++ b/tests/unit/pl_mirror_test.c
@@ -18,7 +18,7 @@
  * long when packed. */
 #define LARGE_BYTES ((gsize)256 << 10)
 
-/* Time within which a change passes the store's feed and the mirror's. */
+/* Time within which a change reaches the second follower, which follows the mirror. */
 #define PROPAGATION_TIME (3 * COALESCE_DELAY)
 
 /** A feed and the rows that it has delivered. */
