--- a/tests/unit/pl_mirror_test.c
+++ b/tests/unit/pl_mirror_test.c
@@ -14,10 +14,11 @@
 #define STEP           (10 * KNL_MSEC)
 #define TEST_TIMEOUT_S 20
 
-/* A long value. Its answer is twice as long as text, and more than half of it packed. */
+/* Length of a large value. Its answer is less than twice as long as text, and more than half as
+ * long when packed. */
 #define LARGE_BYTES ((gsize)256 << 10)
 
-/* Time within which a change passes the store's feed and the mirror's. */
+/* Time within which a change reaches the second follower, which follows the mirror. */
 #define PROPAGATION_TIME (3 * COALESCE_DELAY)
 
 /** A feed and the rows that it has delivered. */
@@ -115,12 +116,12 @@
 {
   static const HtLimits limits = { 16384, 1 << 20 };
   static guint port = 27000;
-  struct timeval limit = { .tv_sec = TEST_TIMEOUT_S };
+  struct timeval timeout = { .tv_sec = TEST_TIMEOUT_S };
   g_autofree char *address = NULL;
 
   *self = (Fixture){ .base = event_base_new (), .clock = knl_paused_clock_new () };
   self->test_timeout = evtimer_new (self->base, on_test_timeout, NULL);
-  evtimer_add (self->test_timeout, &limit);
+  evtimer_add (self->test_timeout, &timeout);
   knl_paused_clock_advance (self->clock, 10 * KNL_SEC);
   self->kernel = knl_kernel_new (knl_paused_clock_runtime (self->clock), 5);
   self->client = ht_client_new (self->kernel, self->base, &limits, 60 * KNL_SEC);
@@ -347,7 +348,7 @@
 {
   static const struct
   {
-    gsize limit;
+    gsize max_unsent;
     guint n_served; /* of the two clients */
   } rows[] = {
     { G_MAXSIZE, 2 }, { 4 * LARGE_BYTES, 2 }, { LARGE_BYTES, 1 }, { LARGE_BYTES / 2, 1 }, { 40, 1 },
@@ -364,7 +365,7 @@
       follower_open (&third, fixture.peer);
       pl_mirror_set_open (fixture.mirror, TRUE);
       advance (&fixture, PROPAGATION_TIME);
-      pl_mirror_set_max_unsent (fixture.mirror, rows[i].limit);
+      pl_mirror_set_max_unsent (fixture.mirror, rows[i].max_unsent);
       row_store_put (fixture.rows, "a", row);
       advance (&fixture, PROPAGATION_TIME);
       CU_ASSERT_EQUAL ((fixture.second.n_unavailable == 0) + (third.n_unavailable == 0),
@@ -440,8 +441,8 @@
   pl_rows_free (rows);
 }
 
-/* Number of the events that can happen to the store, and of the steps that are tried in every order
- * of them. */
+/* Number of kinds of steps, such as a write or an outage, and length of the sequences of steps. All
+ * possible sequences are tried. */
 #define WALK_EVENTS 6
 #define WALK_STEPS  4
 
@@ -546,8 +547,8 @@
 
 static const SuiteCase cases[] = {
   { "pages of a list", test_pages_of_a_list },
-  { "changes are passed on", test_changes_are_passed_on },
-  { "a new list is passed on as changes", test_a_new_list_is_passed_on_as_changes },
+  { "changes are forwarded", test_changes_are_passed_on },
+  { "a new list is forwarded as changes", test_a_new_list_is_passed_on_as_changes },
   { "a client may have newer rows than the mirror", test_client_with_newer_rows },
   { "a mirror that does not follow the store refuses requests",
     test_mirror_not_following_the_store_refuses },
@@ -555,7 +556,7 @@
   { "clients that accept no packing get text", test_clients_without_packing_get_text },
   { "an era passes through the mirror", test_an_era_passes_through_the_mirror },
   { "a mirror of an older era answers nothing", test_a_mirror_of_an_older_era_answers_nothing },
-  { "every order ends alike", test_every_order_ends_alike },
+  { "rows are equal after any order of events", test_every_order_ends_alike },
 };
 
 SUITE_MAIN ("pl_mirror", cases)
