--- a/endpoint/exchange.c
+++ b/endpoint/exchange.c
@@ -7,7 +7,7 @@
 #include "common/settings.h"
 
 /* evhttp's own timeout must never fire: each phase of an exchange has its own timeout here. */
-#define LIBRARY_TIMEOUT_SECONDS 1000000
+#define EVHTTP_TIMEOUT_S 1000000
 
 struct EpExchange
 {
@@ -28,16 +28,16 @@
   struct evkeyvalq *answer_headers;
   int status;
   gboolean sent;   /* bytes were handed to the connection */
-  gboolean closed; /* emits no further events; the timer `later` frees it */
-  KnlTimerId limit;
-  KnlTimerId later;
+  gboolean closed; /* emits no further events; the timer `deferred` frees it */
+  KnlTimerId timeout;
+  KnlTimerId deferred;
 };
 
 static void
 exchange_free (EpExchange *self)
 {
-  knl_timer_stop (self->kernel, &self->limit);
-  knl_timer_stop (self->kernel, &self->later);
+  knl_timer_stop (self->kernel, &self->timeout);
+  knl_timer_stop (self->kernel, &self->deferred);
   if (self->connection != NULL)
     evhttp_connection_free (self->connection);
   else if (self->request != NULL)
@@ -52,7 +52,7 @@
 {
   EpExchange *self = data;
 
-  self->later = 0;
+  self->deferred = 0;
   exchange_free (self);
 }
 
@@ -66,9 +66,9 @@
   if (self->closed)
     return;
   self->closed = TRUE;
-  knl_timer_stop (self->kernel, &self->limit);
-  knl_timer_stop (self->kernel, &self->later);
-  self->later = knl_timer_start (self->kernel, 0, on_free_due, self);
+  knl_timer_stop (self->kernel, &self->timeout);
+  knl_timer_stop (self->kernel, &self->deferred);
+  self->deferred = knl_timer_start (self->kernel, 0, on_free_due, self);
 }
 
 static void
@@ -81,7 +81,7 @@
 }
 
 static void
-finish_early (EpExchange *self, const char *detail)
+finish_incomplete (EpExchange *self, const char *detail)
 {
   finish (self, self->sent ? EP_EXCHANGE_CUT : EP_EXCHANGE_NOT_SENT, detail);
 }
@@ -91,16 +91,16 @@
 {
   EpExchange *self = data;
 
-  self->limit = 0;
-  finish_early (self, self->sent ? "silent" : "connect-timeout");
+  self->timeout = 0;
+  finish_incomplete (self, self->sent ? "silent" : "connect-timeout");
 }
 
 static void
-restart_limit (EpExchange *self, KnlTime limit)
+restart_timeout (EpExchange *self, KnlTime timeout)
 {
-  knl_timer_stop (self->kernel, &self->limit);
+  knl_timer_stop (self->kernel, &self->timeout);
   if (!self->closed)
-    self->limit = knl_timer_start (self->kernel, limit, on_limit, self);
+    self->timeout = knl_timer_start (self->kernel, timeout, on_limit, self);
 }
 
 /*
@@ -116,7 +116,7 @@
   if (self->sent || info->n_added == 0)
     return;
   self->sent = TRUE;
-  restart_limit (self, self->first_limit);
+  restart_timeout (self, self->first_limit);
 }
 
 static void
@@ -133,7 +133,7 @@
 
   if (self->closed)
     return;
-  restart_limit (self, self->idle_limit);
+  restart_timeout (self, self->idle_limit);
   read_status (self, request);
   self->events->on_data (self, evhttp_request_get_input_buffer (request), self->user);
 }
@@ -149,7 +149,7 @@
     return;
   if (request == NULL || evhttp_request_get_response_code (request) == 0)
     {
-      finish_early (self, self->sent ? "closed" : "unreachable");
+      finish_incomplete (self, self->sent ? "closed" : "unreachable");
       return;
     }
   read_status (self, request);
@@ -176,7 +176,7 @@
       bufferevent_free (stream);
       return NULL;
     }
-  evhttp_connection_set_timeout (connection, LIBRARY_TIMEOUT_SECONDS);
+  evhttp_connection_set_timeout (connection, EVHTTP_TIMEOUT_S);
   evhttp_connection_set_retries (connection, 0);
   if (self->answer_bound > 0)
     evhttp_connection_set_max_body_size (connection, (ev_ssize_t)self->answer_bound);
@@ -189,23 +189,23 @@
   EpExchange *self = data;
   struct evhttp_request *request = self->request;
 
-  self->later = 0;
+  self->deferred = 0;
   self->connection = self->host != NULL ? open_connection (self) : NULL;
   if (self->connection == NULL)
     {
-      finish_early (self, "address");
+      finish_incomplete (self, "address");
       return;
     }
-  restart_limit (self, self->connect_limit);
+  restart_timeout (self, self->connect_limit);
   if (evhttp_make_request (self->connection, request, self->method, self->path) != 0)
     {
       self->request = NULL;
-      finish_early (self, "unreachable");
+      finish_incomplete (self, "unreachable");
     }
 }
 
 static enum evhttp_cmd_type
-method_of (const char *name)
+parse_method (const char *name)
 {
   if (strcmp (name, "POST") == 0)
     return EVHTTP_REQ_POST;
@@ -246,7 +246,7 @@
   self->base = base;
   self->events = events;
   self->user = user;
-  self->method = method_of (start->method);
+  self->method = parse_method (start->method);
   self->path = g_strdup (start->path);
   self->connect_limit = start->connect_limit;
   self->first_limit = start->first_limit;
@@ -256,7 +256,7 @@
   self->request = evhttp_request_new (on_done, self);
   evhttp_request_set_chunked_cb (self->request, on_chunk);
   fill_request (self->request, start);
-  self->later = knl_timer_start (kernel, 0, on_start, self);
+  self->deferred = knl_timer_start (kernel, 0, on_start, self);
   return self;
 }
 
--- a/endpoint/http.c
+++ b/endpoint/http.c
@@ -9,16 +9,16 @@
 #include "endpoint/http_stream.h"
 
 /* Calls to engines except streams: their bodies are small and their answers quick. */
-#define CALL_CONNECT_LIMIT (1 * KNL_SEC)
-#define CALL_ANSWER_LIMIT  (2 * KNL_SEC)
-#define CALL_ANSWER_BOUND  ((gsize)4 * 1024 * 1024)
-#define ORDER_ANSWER_LIMIT (5 * KNL_SEC)
+#define CALL_CONNECT_TIMEOUT  (1 * KNL_SEC)
+#define CALL_ANSWER_TIMEOUT   (2 * KNL_SEC)
+#define MAX_CALL_ANSWER_BYTES ((gsize)4 * 1024 * 1024)
+#define ORDER_ANSWER_TIMEOUT  (5 * KNL_SEC)
 
 /*
  * A report shows whether an engine is alive. An entry asks for one only after a stream has been
  * silent for its timeout, so this timeout is short.
  */
-#define REPORT_LIMIT (1 * KNL_SEC)
+#define REPORT_TIMEOUT (1 * KNL_SEC)
 
 /* A plain service adds it to a 503 answer to say that it did not run the call. */
 #define NOT_RUN_HEADER "Alderturn-Not-Run"
@@ -109,7 +109,7 @@
 }
 
 static EpExchangeStart
-small_call (const char *address, const char *method, const char *path, const char *body)
+engine_call_params (const char *address, const char *method, const char *path, const char *body)
 {
   return (EpExchangeStart){
     .address = address,
@@ -118,10 +118,10 @@
     .content_type = body != NULL ? "application/json" : NULL,
     .body = body,
     .body_bytes = body != NULL ? strlen (body) : 0,
-    .answer_bound = CALL_ANSWER_BOUND,
-    .connect_limit = CALL_CONNECT_LIMIT,
-    .first_limit = CALL_ANSWER_LIMIT,
-    .idle_limit = CALL_ANSWER_LIMIT,
+    .answer_bound = MAX_CALL_ANSWER_BYTES,
+    .connect_limit = CALL_CONNECT_TIMEOUT,
+    .first_limit = CALL_ANSWER_TIMEOUT,
+    .idle_limit = CALL_ANSWER_TIMEOUT,
   };
 }
 
@@ -137,9 +137,9 @@
 static void
 finish_cancel (Call *call, EpExchangeEnd end, const char *detail)
 {
-  gboolean whole = end == EP_EXCHANGE_COMPLETE && ep_exchange_status (call->exchange) == 200;
+  gboolean acknowledged = end == EP_EXCHANGE_COMPLETE && ep_exchange_status (call->exchange) == 200;
 
-  call->func.done (whole, call->data);
+  call->func.done (acknowledged, call->data);
 }
 
 static EpCallId
@@ -151,7 +151,7 @@
 {
   json_t *json = json_pack ("{s:s}", "request", request);
   char *body = json_dumps (json, JSON_COMPACT);
-  EpExchangeStart start = small_call (address, "POST", "/v1/cancel", body);
+  EpExchangeStart start = engine_call_params (address, "POST", "/v1/cancel", body);
   Call *call = call_start ((HttpClient *)client, &start, finish_cancel, data);
 
   call->func.done = done;
@@ -177,11 +177,11 @@
 static EpCallId
 http_report (EpClient *client, const char *address, EpReportFunc done, gpointer data)
 {
-  EpExchangeStart start = small_call (address, "GET", "/v1/load", NULL);
+  EpExchangeStart start = engine_call_params (address, "GET", "/v1/load", NULL);
   Call *call;
 
-  start.first_limit = REPORT_LIMIT;
-  start.idle_limit = REPORT_LIMIT;
+  start.first_limit = REPORT_TIMEOUT;
+  start.idle_limit = REPORT_TIMEOUT;
   call = call_start ((HttpClient *)client, &start, finish_report, data);
   call->func.report = done;
   return call->id;
@@ -211,10 +211,10 @@
             gpointer data)
 {
   char *body = ep_json_from_order (order);
-  EpExchangeStart start = small_call (address, "POST", "/v1/orders", body);
+  EpExchangeStart start = engine_call_params (address, "POST", "/v1/orders", body);
   Call *call;
 
-  start.first_limit = ORDER_ANSWER_LIMIT;
+  start.first_limit = ORDER_ANSWER_TIMEOUT;
   call = call_start ((HttpClient *)client, &start, finish_order, data);
   call->func.order = done;
   free (body);
@@ -242,7 +242,7 @@
                    gpointer data)
 {
   char *path = g_strdup_printf ("/v1/cache-events?after=%" G_GUINT64_FORMAT, after);
-  EpExchangeStart start = small_call (address, "GET", path, NULL);
+  EpExchangeStart start = engine_call_params (address, "GET", path, NULL);
   Call *call = call_start ((HttpClient *)client, &start, finish_cache, data);
 
   call->func.cache = done;
@@ -303,7 +303,7 @@
 }
 
 static void
-on_stream_gone (EpStream *stream, gpointer owner)
+on_stream_ended (EpStream *stream, gpointer owner)
 {
   g_hash_table_remove (((HttpClient *)owner)->streams, stream);
 }
@@ -317,7 +317,7 @@
   HttpClient *self = (HttpClient *)client;
   EpStream *stream = ep_http_stream_new (self->kernel, self->events, generate, events, data);
 
-  ep_http_stream_set_owner (stream, on_stream_gone, self);
+  ep_http_stream_set_owner (stream, on_stream_ended, self);
   g_hash_table_add (self->streams, stream);
   return stream;
 }
--- a/endpoint/http_json.c
+++ b/endpoint/http_json.c
@@ -37,13 +37,13 @@
 }
 
 static guint64
-whole (json_t *object, const char *name)
+uint_member (json_t *object, const char *name)
 {
   return (guint64)MAX (json_integer_value (json_object_get (object, name)), 0);
 }
 
 static const char *
-text_of (json_t *object, const char *name)
+text_member (json_t *object, const char *name)
 {
   return json_string_value (json_object_get (object, name));
 }
@@ -57,12 +57,12 @@
 
   json_array_foreach (rows, index, row)
   {
-    const char *request = text_of (row, "request");
+    const char *request = text_member (row, "request");
 
     if (request == NULL)
       continue;
     running[report->n_running].request = (char *)request;
-    running[report->n_running].tokens = whole (row, "tokens");
+    running[report->n_running].tokens = uint_member (row, "tokens");
     report->n_running++;
   }
   report->running = running;
@@ -75,21 +75,21 @@
       || !json_is_integer (json_object_get (json, "capacity_tokens")))
     return FALSE;
   *report = (EpReport){
-    .incarnation = whole (json, "incarnation"),
-    .capacity_tokens = whole (json, "capacity_tokens"),
-    .used_tokens = whole (json, "used_tokens"),
-    .cached_tokens = whole (json, "cached_tokens"),
-    .capacity_slots = (guint)whole (json, "capacity_slots"),
-    .used_slots = (guint)whole (json, "used_slots"),
-    .waiting = (guint)whole (json, "waiting"),
-    .prefill_backlog = whole (json, "prefill_backlog"),
+    .incarnation = uint_member (json, "incarnation"),
+    .capacity_tokens = uint_member (json, "capacity_tokens"),
+    .used_tokens = uint_member (json, "used_tokens"),
+    .cached_tokens = uint_member (json, "cached_tokens"),
+    .capacity_slots = (guint)uint_member (json, "capacity_slots"),
+    .used_slots = (guint)uint_member (json, "used_slots"),
+    .waiting = (guint)uint_member (json, "waiting"),
+    .prefill_backlog = uint_member (json, "prefill_backlog"),
     .prefill_rate = json_number_value (json_object_get (json, "prefill_rate")),
     .decode_rate = json_number_value (json_object_get (json, "decode_rate")),
-    .age = (KnlTime)whole (json, "age_ms") * KNL_MSEC,
-    .fence = whole (json, "fence"),
-    .model = text_of (json, "model"),
-    .adapter = text_of (json, "adapter"),
-    .role = text_of (json, "role"),
+    .age = (KnlTime)uint_member (json, "age_ms") * KNL_MSEC,
+    .fence = uint_member (json, "fence"),
+    .model = text_member (json, "model"),
+    .adapter = text_member (json, "adapter"),
+    .role = text_member (json, "role"),
     .leaving = json_is_true (json_object_get (json, "leaving")),
     .checks_fence = json_is_true (json_object_get (json, "checks_fence")),
   };
@@ -104,14 +104,14 @@
   size_t index;
   json_t *row;
 
-  *last = whole (json, "last");
+  *last = uint_member (json, "last");
   json_array_foreach (json_object_get (json, "events"), index, row)
   {
-    const char *prefix = text_of (row, "prefix");
+    const char *prefix = text_member (row, "prefix");
     EpCacheEvent event = {
-      .sequence = whole (row, "seq"),
+      .sequence = uint_member (row, "seq"),
       .prefix = prefix != NULL ? g_ascii_strtoull (prefix, NULL, 16) : 0,
-      .added = g_strcmp0 (text_of (row, "op"), "add") == 0,
+      .added = g_strcmp0 (text_member (row, "op"), "add") == 0,
     };
 
     if (prefix != NULL)
--- a/endpoint/http_stream.c
+++ b/endpoint/http_stream.c
@@ -8,13 +8,13 @@
 #include "endpoint/http_json.h"
 
 /* A line holds a few tokens; a longer one violates the protocol. */
-#define LINE_LIMIT ((gsize)1024 * 1024)
+#define MAX_LINE_BYTES ((gsize)1024 * 1024)
 
 struct EpStream
 {
   const EpStreamEvents *events;
   gpointer data;
-  EpStreamGoneFunc gone;
+  EpStreamEndedFunc on_ended;
   gpointer owner;
   EpExchange *exchange;
   char *request;
@@ -34,7 +34,7 @@
 }
 
 static void
-end_events (EpStream *self)
+stop_events (EpStream *self)
 {
   self->ended = TRUE;
   if (self->exchange != NULL)
@@ -49,19 +49,19 @@
 void
 ep_http_stream_free (EpStream *self)
 {
-  end_events (self);
+  stop_events (self);
   if (self->depth == 0)
     stream_destroy (self);
 }
 
 static void
-enter (EpStream *self)
+begin_event (EpStream *self)
 {
   self->depth++;
 }
 
 static void
-leave (EpStream *self)
+end_event (EpStream *self)
 {
   self->depth--;
   if (self->ended && self->depth == 0)
@@ -69,9 +69,9 @@
 }
 
 void
-ep_http_stream_set_owner (EpStream *self, EpStreamGoneFunc gone, gpointer owner)
+ep_http_stream_set_owner (EpStream *self, EpStreamEndedFunc on_ended, gpointer owner)
 {
-  self->gone = gone;
+  self->on_ended = on_ended;
   self->owner = owner;
 }
 
@@ -79,8 +79,8 @@
 static void
 finish (EpStream *self)
 {
-  end_events (self);
-  self->gone (self, self->owner);
+  stop_events (self);
+  self->on_ended (self, self->owner);
 }
 
 static void
@@ -93,7 +93,7 @@
 }
 
 static void
-take_end (EpStream *self, json_t *line)
+handle_end (EpStream *self, json_t *line)
 {
   guint64 count = (guint64)json_integer_value (json_object_get (line, "count"));
   const char *reason = json_string_value (json_object_get (line, "finish"));
@@ -109,7 +109,7 @@
 }
 
 static void
-take_tokens (EpStream *self, json_t *line)
+handle_tokens (EpStream *self, json_t *line)
 {
   guint64 offset = (guint64)json_integer_value (json_object_get (line, "offset"));
   json_int_t count = json_integer_value (json_object_get (line, "n"));
@@ -126,7 +126,7 @@
 }
 
 static void
-take_object (EpStream *self, json_t *line)
+handle_frame (EpStream *self, json_t *line)
 {
   const char *request = json_string_value (json_object_get (line, "request"));
   json_t *error = json_object_get (line, "error");
@@ -136,21 +136,21 @@
   else if (error != NULL)
     fail (self, EP_FAILED, FALSE, json_is_string (error) ? json_string_value (error) : "error");
   else if (json_is_true (json_object_get (line, "end")))
-    take_end (self, line);
+    handle_end (self, line);
   else if (json_is_true (json_object_get (line, "accepted")))
     self->events->on_accepted (self, self->data);
   else if (json_object_get (line, "held") == NULL)
-    take_tokens (self, line);
+    handle_tokens (self, line);
 }
 
 static void
-take_line (EpStream *self)
+handle_line (EpStream *self)
 {
   json_t *line = ep_json_parse (self->line->str, self->line->len);
 
   g_string_truncate (self->line, 0);
   if (json_is_object (line))
-    take_object (self, line);
+    handle_frame (self, line);
   else
     fail (self, EP_MALFORMED, FALSE, "no JSON object");
   json_decref (line);
@@ -184,7 +184,7 @@
 {
   EpStream *self = user;
 
-  enter (self);
+  begin_event (self);
   if (ep_exchange_status (exchange) != 200)
     {
       read_line (self, data);
@@ -193,15 +193,15 @@
   else
     {
       while (!self->ended && evbuffer_get_length (data) > 0 && read_line (self, data))
-        take_line (self);
+        handle_line (self);
     }
-  if (!self->ended && self->line->len > LINE_LIMIT)
+  if (!self->ended && self->line->len > MAX_LINE_BYTES)
     fail (self, EP_MALFORMED, FALSE, "line too long");
-  leave (self);
+  end_event (self);
 }
 
 static gboolean
-refusal_says_leaving (EpStream *self)
+refusal_is_leaving (EpStream *self)
 {
   json_t *body = ep_json_parse (self->line->str, self->line->len);
   gboolean leaving =
@@ -212,10 +212,10 @@
 }
 
 static void
-fail_complete (EpStream *self, int status)
+fail_by_status (EpStream *self, int status)
 {
   if (status == 503 || status == 404 || status == 409)
-    fail (self, EP_REFUSED, refusal_says_leaving (self), "refused by the engine");
+    fail (self, EP_REFUSED, refusal_is_leaving (self), "refused by the engine");
   else
     fail (self, EP_CUT, FALSE, status == 200 ? "no last line" : "unexpected status");
 }
@@ -225,13 +225,13 @@
 {
   EpStream *self = user;
 
-  enter (self);
+  begin_event (self);
   self->exchange = NULL;
   if (end == EP_EXCHANGE_COMPLETE)
-    fail_complete (self, ep_exchange_status (exchange));
+    fail_by_status (self, ep_exchange_status (exchange));
   else
     fail (self, end == EP_EXCHANGE_NOT_SENT ? EP_NOT_SENT : EP_CUT, FALSE, detail);
-  leave (self);
+  end_event (self);
 }
 
 static const EpExchangeEvents stream_events = {
--- a/gateway/follow.c
+++ b/gateway/follow.c
@@ -93,7 +93,7 @@
 }
 
 static void
-on_rows_arrived (gpointer data)
+on_rows_received (gpointer data)
 {
   pl_mirror_notify (((Gateway *)data)->mirror);
 }
@@ -161,7 +161,7 @@
   .row = on_config_row,
   .begin_value = on_begin_config,
   .value = on_config_value,
-  .received = on_rows_arrived,
+  .received = on_rows_received,
   .confirmed = on_config_confirmed,
   .recovered = on_config_recovered,
   .unavailable = on_config_unavailable,
@@ -353,7 +353,7 @@
   .begin_list = on_begin_endpoints,
   .end_list = on_end_endpoints,
   .row = on_endpoint_row,
-  .received = on_rows_arrived,
+  .received = on_rows_received,
   .confirmed = on_endpoints_confirmed,
 };
 
--- a/http/client.c
+++ b/http/client.c
@@ -132,19 +132,20 @@
 }
 
 static KnlTime
-idle_limit (const Connection *self, const HtMessage *answer)
+allowed_idle_time (const Connection *self, const HtMessage *answer)
 {
   const char *keep_alive_field = ht_message_get (answer, "keep-alive");
   const char *timeout = keep_alive_field != NULL ? strstr (keep_alive_field, "timeout=") : NULL;
-  KnlTime limit = DEFAULT_IDLE_TIMEOUT;
+  KnlTime max_idle_time = DEFAULT_IDLE_TIMEOUT;
 
   if (timeout != NULL)
-    limit = (KnlTime)(IDLE_FRACTION * strtod (timeout + strlen ("timeout="), NULL) * KNL_SEC);
-  return MIN (limit, self->client->idle_timeout);
+    max_idle_time =
+        (KnlTime)(IDLE_FRACTION * strtod (timeout + strlen ("timeout="), NULL) * KNL_SEC);
+  return MIN (max_idle_time, self->client->idle_timeout);
 }
 
 static void
-add_to_idle (Connection *self, KnlTime limit)
+add_to_idle (Connection *self, KnlTime max_idle_time)
 {
   HtClient *client = self->client;
   GPtrArray *idle = g_hash_table_lookup (client->idle, self->address);
@@ -156,7 +157,7 @@
     }
   g_ptr_array_add (idle, self);
   self->idle_since = knl_kernel_now (client->kernel);
-  self->timer = knl_timer_start (client->kernel, limit, on_timer, self);
+  self->timer = knl_timer_start (client->kernel, max_idle_time, on_timer, self);
 }
 
 static gboolean
@@ -166,7 +167,7 @@
          && self->exchange->skipped == 0
          && evbuffer_get_length (bufferevent_get_input (self->stream)) == 0
          && evbuffer_get_length (bufferevent_get_output (self->stream)) == 0
-         && idle_limit (self, answer) > 0;
+         && allowed_idle_time (self, answer) > 0;
 }
 
 static void
@@ -174,12 +175,12 @@
 {
   g_autoptr (HtMessage) answer = ht_reader_steal (self->reader);
   HtExchange *exchange = self->exchange;
-  KnlTime limit = idle_limit (self, answer);
+  KnlTime max_idle_time = allowed_idle_time (self, answer);
 
   if (is_reusable (self, answer))
     {
       self->exchange = NULL;
-      add_to_idle (self, limit);
+      add_to_idle (self, max_idle_time);
       exchange->events->done (exchange, answer, exchange->data);
       g_free (exchange);
       return;
--- a/http/reader.c
+++ b/http/reader.c
@@ -90,7 +90,7 @@
  * different target. http_parser accepts both.
  */
 static gboolean
-has_clear_lines (HtReader *self, const char *bytes, gsize length)
+has_unambiguous_lines (HtReader *self, const char *bytes, gsize length)
 {
   for (gsize i = 0; i < length && !self->has_empty_line; i++)
     {
@@ -158,7 +158,7 @@
 }
 
 static gboolean
-has_clear_framing (const HtMessage *message)
+has_unambiguous_framing (const HtMessage *message)
 {
   guint lengths = ht_message_count (message, "content-length");
   guint encodings = ht_message_count (message, "transfer-encoding");
@@ -177,7 +177,7 @@
 
   if (finish_field (self) != 0)
     return -1;
-  if (!has_clear_framing (message) || parser->http_major != 1)
+  if (!has_unambiguous_framing (message) || parser->http_major != 1)
     return -refuse (self, HT_READ_BAD);
   if (!self->reads_responses && parser->method == HTTP_CONNECT)
     return -refuse (self, HT_READ_BAD);
@@ -308,7 +308,7 @@
 
   if (length > 0)
     self->begun = TRUE;
-  if (!self->reads_responses && !has_clear_lines (self, bytes, length))
+  if (!self->reads_responses && !has_unambiguous_lines (self, bytes, length))
     {
       *consumed = length;
       return HT_READ_BAD;
--- a/include/endpoint/http_stream.h
+++ b/include/endpoint/http_stream.h
@@ -7,7 +7,7 @@
 struct event_base;
 
 /** Called when a stream has ended, so that its owner drops its reference. */
-typedef void (*EpStreamGoneFunc) (EpStream *stream, gpointer owner);
+typedef void (*EpStreamEndedFunc) (EpStream *stream, gpointer owner);
 
 EpStream *ep_http_stream_new (KnlKernel *kernel,
                               struct event_base *base,
@@ -16,6 +16,6 @@
                               gpointer data);
 
 /** Sets the function called once when the stream ends; not called by ep_http_stream_free(). */
-void ep_http_stream_set_owner (EpStream *stream, EpStreamGoneFunc gone, gpointer owner);
+void ep_http_stream_set_owner (EpStream *stream, EpStreamEndedFunc on_ended, gpointer owner);
 
 void ep_http_stream_free (EpStream *stream);
--- a/table/http.c
+++ b/table/http.c
@@ -12,9 +12,9 @@
 #include "table/codec.h"
 
 /* Further calls fail as unavailable, so that sockets don't accumulate while the store hangs. */
-#define CALLS_LIMIT 512
+#define MAX_CALLS 512
 
-#define ANSWER_BYTES_LIMIT ((gsize)16 * 1024 * 1024)
+#define MAX_ANSWER_BYTES ((gsize)16 * 1024 * 1024)
 
 typedef enum
 {
@@ -222,7 +222,7 @@
   struct evkeyvalq *headers = evhttp_request_get_output_headers (request);
 
   call->connection = evhttp_connection_base_new (http->events, NULL, http->host, http->port);
-  evhttp_connection_set_max_body_size (call->connection, ANSWER_BYTES_LIMIT);
+  evhttp_connection_set_max_body_size (call->connection, MAX_ANSWER_BYTES);
   evhttp_add_header (headers, "Host", http->address);
   evhttp_add_header (headers, "Connection", "close");
   if (body != NULL)
@@ -253,7 +253,7 @@
 {
   TbHttp *http = call->platform;
 
-  if (g_hash_table_size (http->calls) <= CALLS_LIMIT)
+  if (g_hash_table_size (http->calls) <= MAX_CALLS)
     begin_request (call, method, path, body);
   call->timer =
       knl_timer_start (http->kernel, call->connection != NULL ? http->limit : 0, on_limit, call);
--- a/tests/fakes/memory_fleet.c
+++ b/tests/fakes/memory_fleet.c
@@ -92,7 +92,7 @@
   Endpoint *endpoint = data;
 
   endpoint->weights = 0;
-  sd_engine_take_weights (endpoint->engine);
+  sd_engine_receive_weights (endpoint->engine);
 }
 
 static void
@@ -100,7 +100,7 @@
 {
   Endpoint *endpoint = data;
   KnlTime wait =
-      sd_weight_store_take (&endpoint->fleet->weights, knl_kernel_now (endpoint->kernel), bytes);
+      sd_weight_store_enqueue (&endpoint->fleet->weights, knl_kernel_now (endpoint->kernel), bytes);
 
   knl_timer_stop (endpoint->kernel, &endpoint->weights);
   endpoint->weights = knl_timer_start (endpoint->kernel, wait, on_weights, endpoint);
--- a/tests/fakes/memory_stream.c
+++ b/tests/fakes/memory_stream.c
@@ -219,7 +219,7 @@
     .imports = stream->imports,
     .imported_tokens = imported,
   };
-  SdAdmission admission = SD_IMPORT_GONE;
+  SdAdmission admission = SD_IMPORT_LOST;
 
   if (held)
     admission = sd_engine_generate (stream->endpoint->engine, &request, on_frame, stream);
--- a/tests/fakes/row_store.c
+++ b/tests/fakes/row_store.c
@@ -126,7 +126,7 @@
 }
 
 static void
-on_waited (gpointer data)
+on_wait_over (gpointer data)
 {
   Waiting *self = data;
 
@@ -171,7 +171,7 @@
     answer_waiting (waiting);
   else
     waiting->timer = knl_timer_start (
-        self->kernel, (KnlTime)g_ascii_strtoull (wait, NULL, 10) * KNL_MSEC, on_waited, waiting);
+        self->kernel, (KnlTime)g_ascii_strtoull (wait, NULL, 10) * KNL_MSEC, on_wait_over, waiting);
 }
 
 static guint64
--- a/tests/fuzz/seeded_test.c
+++ b/tests/fuzz/seeded_test.c
@@ -12,7 +12,7 @@
 #define RUNS 4000
 
 /* Maximum number of mutations of one example. */
-#define DAMAGES_MOST 6
+#define MAX_MUTATIONS 6
 
 /* Inserted values: limits of number conversions and structural characters. */
 static const char *const tokens[] = {
@@ -20,7 +20,7 @@
 };
 
 static void
-damage (GString *text, GRand *rand)
+mutate (GString *text, GRand *rand)
 {
   gsize at = text->len > 0 ? (gsize)g_rand_int_range (rand, 0, (gint32)text->len) : 0;
   gsize wanted = (gsize)g_rand_int_range (rand, 1, 9);
@@ -45,9 +45,9 @@
       return;
     default:
       {
-        g_autofree char *again = g_memdup2 (text->str + at, length);
+        g_autofree char *copy = g_memdup2 (text->str + at, length);
 
-        g_string_insert_len (text, (gssize)at, again, (gssize)length);
+        g_string_insert_len (text, (gssize)at, copy, (gssize)length);
       }
     }
 }
@@ -64,10 +64,10 @@
     {
       const char *example = target->examples[i % n_examples];
       g_autoptr (GString) text = g_string_new (example);
-      gint damages = g_rand_int_range (rand, 0, DAMAGES_MOST + 1);
+      gint mutations = g_rand_int_range (rand, 0, MAX_MUTATIONS + 1);
 
-      for (gint j = 0; j < damages; j++)
-        damage (text, rand);
+      for (gint j = 0; j < mutations; j++)
+        mutate (text, rand);
       target->run ((const guint8 *)text->str, text->len);
     }
   return runs;
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -177,7 +177,7 @@
       SdEngine *engine = fk_fleet_engine (fk_deployment_fleet (soak->deployment),
                                           fk_deployment_engine_address (soak->deployment, i));
 
-      if (engine == NULL || sd_engine_taken (engine) != 0)
+      if (engine == NULL || sd_engine_reserved_tokens (engine) != 0)
         violation (soak, "memory is given back",
                    fk_deployment_engine_address (soak->deployment, i));
     }
--- a/tests/standins/completion_client.c
+++ b/tests/standins/completion_client.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 /* Added to the caller's timeout. An entry that has not ended the request by then is at fault. */
-#define LIMIT_MARGIN_S 10
+#define TIMEOUT_MARGIN_S 10
 
 typedef struct
 {
@@ -38,7 +38,7 @@
 }
 
 static void
-take_tokens (Call *call, const json_t *event)
+check_tokens (Call *call, const json_t *event)
 {
   guint64 offset = (guint64)sd_json_number (event, "offset", 0);
   guint64 count = (guint64)sd_json_number (event, "n", 0);
@@ -56,7 +56,7 @@
 }
 
 static void
-take_line (Call *call, const char *line)
+handle_line (Call *call, const char *line)
 {
   json_t *event;
 
@@ -67,7 +67,7 @@
   if (call->event_is_final && call->last == NULL)
     call->last = json_incref (event);
   else if (!call->event_is_final)
-    take_tokens (call, event);
+    check_tokens (call, event);
   json_decref (event);
 }
 
@@ -86,7 +86,7 @@
     return;
   while ((line = evbuffer_readln (call->input, NULL, EVBUFFER_EOL_LF)) != NULL)
     {
-      take_line (call, line);
+      handle_line (call, line);
       free (line);
     }
 }
@@ -102,9 +102,9 @@
   result->request = sd_json_text (source, "request", "");
   result->outcome = sd_json_text (source, "outcome", result->unreachable ? "unreachable" : "cut");
   result->code = sd_json_text (error, "code", "");
-  result->whole = error == NULL && strcmp (result->outcome, "done") == 0 && !result->wrong
-                  && result->tokens == call->max_tokens
-                  && (guint64)sd_json_number (call->last, "count", -1) == result->tokens;
+  result->complete = error == NULL && strcmp (result->outcome, "done") == 0 && !result->wrong
+                     && result->tokens == call->max_tokens
+                     && (guint64)sd_json_number (call->last, "count", -1) == result->tokens;
 }
 
 static void
@@ -162,5 +162,5 @@
       &call->client, server, request, EVHTTP_REQ_POST, completion->address, "/v1/completions",
       json_pack ("{s:s, s:s, s:I, s:b}", "service", completion->service, "prompt",
                  completion->prompt, "max_tokens", (json_int_t)completion->max_tokens, "stream", 1),
-      (int)(completion->timeout_ms / 1000) + LIMIT_MARGIN_S);
+      (int)(completion->timeout_ms / 1000) + TIMEOUT_MARGIN_S);
 }
--- a/tests/standins/completion_client.h
+++ b/tests/standins/completion_client.h
@@ -23,7 +23,7 @@
                              or "unreachable" */
   const char *code;     /**< of the error, or "" */
   guint64 tokens;
-  gboolean whole;      /**< outcome "done", and exactly the expected tokens were received */
+  gboolean complete;   /**< outcome "done", and exactly the expected tokens were received */
   gboolean wrong;      /**< received a token that isn't part of the answer to this prompt */
   KnlTime first_token; /**< time from the start to the first token; -1: none */
   KnlTime total;
--- a/tests/standins/engine_calls.c
+++ b/tests/standins/engine_calls.c
@@ -14,7 +14,7 @@
 static int
 cancel (SdEngine *engine, const json_t *body, json_t **answer)
 {
-  if (sd_engine_hit (engine, SD_FAULT_LOSE_CANCEL))
+  if (sd_engine_consume_fault (engine, SD_FAULT_LOSE_CANCEL))
     return 0;
   *answer = json_pack ("{s:b}", "found", sd_engine_cancel (engine, text_of (body, "request")));
   return 200;
--- a/tests/standins/engine_imports.c
+++ b/tests/standins/engine_imports.c
@@ -1,7 +1,7 @@
 #include "tests/standins/engine_internal.h"
 
 /* How often a running request checks that its imports are still held. */
-#define IMPORT_CHECK KNL_SEC
+#define IMPORT_CHECK_INTERVAL KNL_SEC
 
 struct SdImport
 {
@@ -10,7 +10,7 @@
   char *request; /* running request to watch the imports for; NULL: check once */
   SdImportsFunc done;
   gpointer data;
-  guint asked; /* outstanding answers */
+  guint outstanding; /* outstanding answers */
   gboolean held;
   guint64 tokens;
   KnlTimerId timer;
@@ -45,14 +45,14 @@
 }
 
 static void
-ask (SdImport *import)
+request_exports (SdImport *import)
 {
   const SdEngine *engine = import->engine;
   size_t i;
   json_t *item;
 
   /* One extra, so that answers made inside the calls can't end the check before all are sent. */
-  import->asked = (guint)json_array_size (import->list) + 1;
+  import->outstanding = (guint)json_array_size (import->list) + 1;
   import->held = TRUE;
   import->tokens = 0;
   json_array_foreach (import->list, i, item)
@@ -76,7 +76,7 @@
 
   import->timer = 0;
   if (request != NULL && request->state != REQUEST_ENDED)
-    ask (import);
+    request_exports (import);
   else
     import_drop (import);
 }
@@ -84,7 +84,8 @@
 static void
 watch (SdImport *import)
 {
-  import->timer = knl_timer_start (import->engine->kernel, IMPORT_CHECK, check_again, import);
+  import->timer =
+      knl_timer_start (import->engine->kernel, IMPORT_CHECK_INTERVAL, check_again, import);
 }
 
 void
@@ -92,7 +93,7 @@
 {
   import->held = import->held && held;
   import->tokens += tokens;
-  if (--import->asked > 0)
+  if (--import->outstanding > 0)
     return;
   if (import->request != NULL && import->held)
     {
@@ -113,7 +114,7 @@
 
   import->done = done;
   import->data = data;
-  ask (import);
+  request_exports (import);
 }
 
 void
--- a/tests/standins/engine_internal.h
+++ b/tests/standins/engine_internal.h
@@ -53,7 +53,7 @@
   GHashTable *by_id;   /* id -> Request */
   GArray *ran;         /* SdRan */
   SdPrefixCache *cache;
-  guint64 taken;
+  guint64 reserved_tokens;
   guint used_slots;
   guint waiting;
   guint64 memory_waits;
@@ -79,7 +79,7 @@
 };
 
 /** TRUE when `fault` is set; uses up one of its remaining occurrences. */
-gboolean sd_engine_hit (SdEngine *engine, SdEngineFault fault);
+gboolean sd_engine_consume_fault (SdEngine *engine, SdEngineFault fault);
 
 /** Sends the reader of `request` all tokens not yet sent, and the end frame if it has ended. */
 void sd_engine_deliver (SdEngine *engine, Request *request);
--- a/tests/standins/engine_model.c
+++ b/tests/standins/engine_model.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 /* Size of an adapter's weights as a fraction of its model's. */
-#define ADAPTER_PART 0.01
+#define ADAPTER_WEIGHT_FRACTION 0.01
 
 const SdEngineSettings sd_engine_defaults = {
   .incarnation = 1,
@@ -111,7 +111,7 @@
 }
 
 gboolean
-sd_engine_hit (SdEngine *engine, SdEngineFault fault)
+sd_engine_consume_fault (SdEngine *engine, SdEngineFault fault)
 {
   if (engine->fault != fault)
     return FALSE;
@@ -192,11 +192,11 @@
 {
   Request *request = g_new0 (Request, 1);
   guint64 imported = MIN (from->imported_tokens, tokens_of (from));
-  gboolean whole = !from->hold && imported == 0;
+  gboolean full = !from->hold && imported == 0;
 
   request->id = g_strdup (from->request);
   request->prompt_hash = sd_prompt_hash (from->prompt, from->prompt_bytes);
-  request->blocks = sd_prompt_blocks (from->prompt, whole ? from->prompt_bytes : 0);
+  request->blocks = sd_prompt_blocks (from->prompt, full ? from->prompt_bytes : 0);
   request->prompt_tokens = tokens_of (from);
   request->imported_tokens = imported;
   request->max_tokens = from->hold ? 0 : MAX (from->max_tokens, 1);
@@ -327,7 +327,7 @@
   Request *request;
 
   if (g_hash_table_contains (engine->by_id, id)
-      || engine->taken + tokens > engine->settings.capacity_tokens
+      || engine->reserved_tokens + tokens > engine->settings.capacity_tokens
       || engine->used_slots >= engine->settings.slots)
     return FALSE;
   request = g_new0 (Request, 1);
@@ -338,9 +338,10 @@
   request->ran = -1;
   request->unread_since = knl_kernel_now (engine->kernel);
   insert_in_order (engine, request);
-  engine->taken += tokens;
+  engine->reserved_tokens += tokens;
   engine->used_slots++;
-  sd_prefix_cache_shrink (engine->cache, engine->settings.capacity_tokens - engine->taken);
+  sd_prefix_cache_shrink (engine->cache,
+                          engine->settings.capacity_tokens - engine->reserved_tokens);
   sd_engine_changed (engine);
   sd_engine_schedule (engine);
   return TRUE;
@@ -350,25 +351,25 @@
 load (SdEngine *engine, const char *model, const char *adapter)
 {
   const SdEngineSettings *settings = &engine->settings;
-  gboolean whole = model != settings->model;
-  KnlTime least = (KnlTime)((double)settings->model_load_time / settings->clock_factor);
+  gboolean full = model != settings->model;
+  KnlTime min_load_time = (KnlTime)((double)settings->model_load_time / settings->clock_factor);
 
-  engine->model_ready_at = knl_kernel_now (engine->kernel) + least;
+  engine->model_ready_at = knl_kernel_now (engine->kernel) + min_load_time;
   engine->settings.model = model;
   engine->settings.adapter = adapter;
   if (engine->host == NULL || settings->weight_bytes <= 0)
     return;
   /* An adapter is useless without its model's weights: a pending fetch of the model is restarted.
    */
-  whole = whole || engine->weights_missing;
+  full = full || engine->weights_missing;
   engine->weights_missing = TRUE;
-  engine->host->fetch_weights (whole ? model : adapter,
-                               settings->weight_bytes * (whole ? 1 : ADAPTER_PART),
+  engine->host->fetch_weights (full ? model : adapter,
+                               settings->weight_bytes * (full ? 1 : ADAPTER_WEIGHT_FRACTION),
                                engine->host_data);
 }
 
 void
-sd_engine_take_weights (SdEngine *engine)
+sd_engine_receive_weights (SdEngine *engine)
 {
   engine->weights_missing = FALSE;
   sd_engine_changed (engine);
@@ -413,9 +414,9 @@
 }
 
 guint64
-sd_engine_taken (const SdEngine *engine)
+sd_engine_reserved_tokens (const SdEngine *engine)
 {
-  return engine->taken;
+  return engine->reserved_tokens;
 }
 
 guint64
--- a/tests/standins/engine_model.h
+++ b/tests/standins/engine_model.h
@@ -54,7 +54,7 @@
   SD_WRONG_ROLE,
   SD_WRONG_MODEL,
   SD_DUPLICATE,
-  SD_IMPORT_GONE,
+  SD_IMPORT_LOST,
 } SdAdmission;
 
 /** The error code of a refusal as in docs/ADAPTERS.md. */
@@ -132,7 +132,7 @@
    * called before it returns.
    */
   void (*export_from) (const char *address, const char *request, SdImport *import, gpointer data);
-  /** Fetches weights and drops an earlier fetch; ends with sd_engine_take_weights(). */
+  /** Fetches weights and drops an earlier fetch; ends with sd_engine_receive_weights(). */
   void (*fetch_weights) (const char *name, double bytes, gpointer data);
 } SdEngineHost;
 
@@ -193,7 +193,7 @@
 gboolean sd_engine_order (SdEngine *engine, const EpOrder *order, guint64 *fence);
 
 /** The weights requested last have been received completely. */
-void sd_engine_take_weights (SdEngine *engine);
+void sd_engine_receive_weights (SdEngine *engine);
 
 void sd_engine_leave (SdEngine *engine);
 gboolean sd_engine_is_idle (const SdEngine *engine);
@@ -212,7 +212,7 @@
 const GArray *sd_engine_ran (const SdEngine *engine);
 
 /** Tokens of memory in use by requests now, without the cache; unlike the report, up to date. */
-guint64 sd_engine_taken (const SdEngine *engine);
+guint64 sd_engine_reserved_tokens (const SdEngine *engine);
 
 /** How often the request at the head of the queue had to wait for memory. */
 guint64 sd_engine_memory_waits (const SdEngine *engine);
--- a/tests/standins/engine_report.c
+++ b/tests/standins/engine_report.c
@@ -1,7 +1,7 @@
 #include "tests/standins/engine_internal.h"
 
 /* Number of snapshots taken within the lag. */
-#define SNAPSHOTS_IN_LAG 4
+#define SNAPSHOTS_PER_LAG 4
 
 static void
 running_clear (gpointer data)
@@ -45,7 +45,7 @@
   snapshot->report = (EpReport){
     .incarnation = settings->incarnation,
     .capacity_tokens = settings->capacity_tokens,
-    .used_tokens = engine->taken + cached,
+    .used_tokens = engine->reserved_tokens + cached,
     .cached_tokens = cached,
     .capacity_slots = (guint)settings->slots,
     .used_slots = engine->used_slots,
@@ -74,7 +74,7 @@
   const Snapshot *last = g_queue_peek_tail (&engine->snapshots);
 
   engine->changed_at = now;
-  if (last != NULL && now - last->taken_at < lag / SNAPSHOTS_IN_LAG)
+  if (last != NULL && now - last->taken_at < lag / SNAPSHOTS_PER_LAG)
     return;
   g_queue_push_tail (&engine->snapshots, snapshot_new (engine));
   /* Keep one snapshot older than the lag: reports are answered from it. */
--- a/tests/standins/engine_step.c
+++ b/tests/standins/engine_step.c
@@ -4,10 +4,10 @@
 #include <xxhash.h>
 
 /* Maximum number of tokens in one frame. */
-#define FRAME_TOKENS 256
+#define MAX_FRAME_TOKENS 256
 
 /* A step does at most this many steps' work: a process that was stopped did none meanwhile. */
-#define LONGEST_STEP 4
+#define MAX_STEP_FACTOR 4
 
 guint64
 sd_prompt_hash (const char *prompt, gsize bytes)
@@ -72,17 +72,17 @@
 {
   gboolean last = to == request->max_tokens;
 
-  if (last && sd_engine_hit (engine, SD_FAULT_SHORT_COUNT))
+  if (last && sd_engine_consume_fault (engine, SD_FAULT_SHORT_COUNT))
     return;
-  if (!last && request->late_to == 0 && sd_engine_hit (engine, SD_FAULT_LATE_FRAMES))
+  if (!last && request->late_to == 0 && sd_engine_consume_fault (engine, SD_FAULT_LATE_FRAMES))
     {
       request->late_from = from;
       request->late_to = to;
       return;
     }
-  if (sd_engine_hit (engine, SD_FAULT_WRONG_REQUEST))
+  if (sd_engine_consume_fault (engine, SD_FAULT_WRONG_REQUEST))
     send_foreign (request, from);
-  if (request->reader != NULL && sd_engine_hit (engine, SD_FAULT_DOUBLE_FRAMES))
+  if (request->reader != NULL && sd_engine_consume_fault (engine, SD_FAULT_DOUBLE_FRAMES))
     send_tokens (request, from, to);
   send_tokens (request, from, to);
   send_late (request);
@@ -95,7 +95,7 @@
     {
       guint64 from = request->sent;
 
-      request->sent = MIN (request->produced, from + FRAME_TOKENS);
+      request->sent = MIN (request->produced, from + MAX_FRAME_TOKENS);
       send_with_faults (engine, request, from, request->sent);
     }
   if (request->reader == NULL)
@@ -114,13 +114,13 @@
     engine->waiting--;
   else if (request->state != REQUEST_ENDED)
     {
-      g_assert (engine->taken >= request->memory);
-      engine->taken -= request->memory;
+      g_assert (engine->reserved_tokens >= request->memory);
+      engine->reserved_tokens -= request->memory;
       engine->used_slots--;
     }
   if (request->state == REQUEST_DECODE)
     sd_prefix_cache_add (engine->cache, request->blocks,
-                         engine->settings.capacity_tokens - engine->taken);
+                         engine->settings.capacity_tokens - engine->reserved_tokens);
   request->state = REQUEST_ENDED;
   request->unread_since = knl_kernel_now (engine->kernel);
 }
@@ -135,15 +135,16 @@
 static void
 start_request (SdEngine *engine, Request *request)
 {
-  guint64 room = engine->settings.capacity_tokens - engine->taken - request->memory;
+  guint64 free_tokens =
+      engine->settings.capacity_tokens - engine->reserved_tokens - request->memory;
   guint64 cached;
   SdRan ran = { .request = g_strdup (request->id), .prompt_hash = request->prompt_hash };
 
   engine->waiting--;
   engine->used_slots++;
-  engine->taken += request->memory;
+  engine->reserved_tokens += request->memory;
   cached = sd_prefix_cache_match (engine->cache, request->blocks);
-  sd_prefix_cache_shrink (engine->cache, room);
+  sd_prefix_cache_shrink (engine->cache, free_tokens);
   request->prefill_left = MAX (request->prefill_left - (double)cached, 1);
   request->state = REQUEST_PREFILL;
   request->ran = (int)engine->ran->len;
@@ -163,7 +164,7 @@
         continue;
       if (engine->used_slots >= engine->settings.slots)
         return;
-      if (engine->taken + request->memory > engine->settings.capacity_tokens)
+      if (engine->reserved_tokens + request->memory > engine->settings.capacity_tokens)
         {
           engine->memory_waits += engine->head_waits ? 0 : 1;
           engine->head_waits = TRUE;
@@ -235,7 +236,7 @@
 }
 
 static void
-drop_unread (SdEngine *engine)
+expire_unread (SdEngine *engine)
 {
   KnlTime limit = knl_kernel_now (engine->kernel) - engine->settings.hold_limit;
 
@@ -268,12 +269,12 @@
 {
   SdEngine *engine = data;
   KnlTime now = knl_kernel_now (engine->kernel);
-  KnlTime passed = MIN (now - engine->stepped_at, LONGEST_STEP * engine->settings.step);
+  KnlTime passed = MIN (now - engine->stepped_at, MAX_STEP_FACTOR * engine->settings.step);
   double seconds = (double)passed / (double)KNL_SEC * engine->settings.clock_factor;
 
   engine->timer = 0;
   engine->stepped_at = now;
-  drop_unread (engine);
+  expire_unread (engine);
   decode (engine, seconds * engine->settings.decode_rate);
   prefill (engine, seconds * engine->settings.prefill_rate);
   deliver_all (engine);
--- a/tests/standins/http_server.c
+++ b/tests/standins/http_server.c
@@ -21,7 +21,7 @@
 
 /* Ends and frees the exchange. Returns its request, to be answered, or NULL if disconnected. */
 static struct evhttp_request *
-forget (SdExchange *exchange)
+exchange_finish (SdExchange *exchange)
 {
   struct evhttp_request *request = exchange->request;
   struct evhttp_connection *connection =
@@ -162,7 +162,7 @@
   struct evhttp_request *request;
 
   evbuffer_add (output, body, bytes);
-  request = forget (exchange);
+  request = exchange_finish (exchange);
   if (request != NULL)
     {
       evhttp_add_header (evhttp_request_get_output_headers (request), "Content-Type", content_type);
@@ -217,7 +217,7 @@
 void
 sd_exchange_end (SdExchange *exchange)
 {
-  struct evhttp_request *request = forget (exchange);
+  struct evhttp_request *request = exchange_finish (exchange);
 
   if (request != NULL)
     evhttp_send_reply_end (request);
@@ -227,7 +227,7 @@
 static void
 drop_now (gpointer data)
 {
-  struct evhttp_request *request = forget (data);
+  struct evhttp_request *request = exchange_finish (data);
 
   if (request != NULL)
     evhttp_connection_free (evhttp_request_get_connection (request));
@@ -240,15 +240,15 @@
 }
 
 static void
-forget_hung (gpointer data)
+finish_hung (gpointer data)
 {
-  forget (data);
+  exchange_finish (data);
 }
 
 void
 sd_exchange_hang (SdExchange *exchange)
 {
-  exchange->on_closed = forget_hung;
+  exchange->on_closed = finish_hung;
   exchange->closed_data = exchange;
 }
 
@@ -300,7 +300,7 @@
 }
 
 void
-sd_client_start (SdClient **where,
+sd_client_start (SdClient **client_out,
                  SdServer *server,
                  struct evhttp_request *request,
                  enum evhttp_cmd_type method,
@@ -320,7 +320,7 @@
   client->connection = evhttp_connection_base_new (server->base, NULL, host, port);
   evhttp_connection_set_timeout (client->connection, timeout_s);
   g_hash_table_add (server->clients, client);
-  *where = client;
+  *client_out = client;
   evhttp_add_header (headers, "Host", address);
   evhttp_add_header (headers, "Connection", "close");
   if (text != NULL)
@@ -358,37 +358,37 @@
   gboolean ended;
   SdAnswerFunc done;
   gpointer data;
-} Question;
+} JsonCall;
 
 static void
 on_answer (struct evhttp_request *request, void *data)
 {
-  Question *question = data;
+  JsonCall *json_call = data;
   int status = request != NULL ? evhttp_request_get_response_code (request) : 0;
   json_t *body = status != 0 ? sd_json_parse (evhttp_request_get_input_buffer (request)) : NULL;
 
-  question->ended = TRUE;
-  question->done (status, body, question->data);
+  json_call->ended = TRUE;
+  json_call->done (status, body, json_call->data);
   json_decref (body);
-  sd_client_end (question->client);
+  sd_client_end (json_call->client);
 }
 
 SdClient *
-sd_server_ask (SdServer *server,
-               const char *address,
-               enum evhttp_cmd_type method,
-               const char *path,
-               json_t *body,
-               int timeout_s,
-               SdAnswerFunc done,
-               gpointer data)
-{
-  Question *question = g_new0 (Question, 1);
-
-  question->done = done;
-  question->data = data;
-  sd_client_start (&question->client, server, evhttp_request_new (on_answer, question), method,
+sd_server_request (SdServer *server,
+                   const char *address,
+                   enum evhttp_cmd_type method,
+                   const char *path,
+                   json_t *body,
+                   int timeout_s,
+                   SdAnswerFunc done,
+                   gpointer data)
+{
+  JsonCall *json_call = g_new0 (JsonCall, 1);
+
+  json_call->done = done;
+  json_call->data = data;
+  sd_client_start (&json_call->client, server, evhttp_request_new (on_answer, json_call), method,
                    address, path, body, timeout_s);
-  question->client->owned = question;
-  return question->ended ? NULL : question->client;
+  json_call->client->owned = json_call;
+  return json_call->ended ? NULL : json_call->client;
 }
--- a/tests/standins/http_server.h
+++ b/tests/standins/http_server.h
@@ -195,11 +195,11 @@
  * Sends a request and passes the JSON of its answer to `done`. Takes ownership of `body`. Returns
  * NULL if the request ended inside the call.
  */
-SdClient *sd_server_ask (SdServer *server,
-                         const char *address,
-                         enum evhttp_cmd_type method,
-                         const char *path,
-                         json_t *body,
-                         int timeout_s,
-                         SdAnswerFunc done,
-                         gpointer data);
+SdClient *sd_server_request (SdServer *server,
+                             const char *address,
+                             enum evhttp_cmd_type method,
+                             const char *path,
+                             json_t *body,
+                             int timeout_s,
+                             SdAnswerFunc done,
+                             gpointer data);
--- a/tests/standins/prefix_cache_model.c
+++ b/tests/standins/prefix_cache_model.c
@@ -2,7 +2,7 @@
 
 #include <xxhash.h>
 
-#define EVENTS_KEPT 4096
+#define MAX_EVENTS 4096
 
 typedef struct
 {
@@ -86,7 +86,7 @@
     event->lost =
         (guint)g_rand_int_range (knl_kernel_rand (cache->kernel), 0, 100) < cache->gap_percent;
   g_queue_push_tail (&cache->events, event);
-  if (g_queue_get_length (&cache->events) > EVENTS_KEPT)
+  if (g_queue_get_length (&cache->events) > MAX_EVENTS)
     g_free (g_queue_pop_head (&cache->events));
 }
 
--- a/tests/standins/program.c
+++ b/tests/standins/program.c
@@ -5,9 +5,9 @@
 
 #include <signal.h>
 
-#define RETRY_DELAY   (200 * KNL_MSEC)
-#define DRAIN_CHECK   (50 * KNL_MSEC)
-#define ASK_TIMEOUT_S 5
+#define RETRY_DELAY          (200 * KNL_MSEC)
+#define DRAIN_CHECK_INTERVAL (50 * KNL_MSEC)
+#define REQUEST_TIMEOUT_S    5
 
 /* Settings of every endpoint's stand-in; "name", whose default is the kind, is added to them. */
 static const CmSetting endpoint_settings[] = {
@@ -56,12 +56,13 @@
 }
 
 static void
-tell_platform (SdServer *server, enum evhttp_cmd_type method, json_t *body, SdAnswerFunc done)
+call_platform (SdServer *server, enum evhttp_cmd_type method, json_t *body, SdAnswerFunc done)
 {
   g_autofree char *path =
       g_strconcat ("/instances/", server->program->kind, "/", server->name, NULL);
 
-  sd_server_ask (server, server->platform_address, method, path, body, ASK_TIMEOUT_S, done, server);
+  sd_server_request (server, server->platform_address, method, path, body, REQUEST_TIMEOUT_S, done,
+                     server);
 }
 
 static void put_instance (gpointer data);
@@ -85,7 +86,7 @@
   server->retry = 0;
   if (server->platform_address == NULL)
     return;
-  tell_platform (server, EVHTTP_REQ_PUT,
+  call_platform (server, EVHTTP_REQ_PUT,
                  json_pack ("{s:s, s:s, s:s, s:s, s:s, s:s, s:s}", "name", server->name, "kind",
                             server->program->kind, "address",
                             elsewhere ? server->advertised_address : server->address, "zone",
@@ -106,7 +107,7 @@
   server->removing = TRUE;
   knl_timer_stop (server->kernel, &server->retry);
   if (server->platform_address != NULL)
-    tell_platform (server, EVHTTP_REQ_DELETE, NULL, on_removed);
+    call_platform (server, EVHTTP_REQ_DELETE, NULL, on_removed);
   else
     sd_server_stop (server);
 }
@@ -128,7 +129,7 @@
   if (server->program->is_idle (server))
     remove_instance (server);
   else
-    knl_timer_start (server->kernel, DRAIN_CHECK, remove_when_idle, server);
+    knl_timer_start (server->kernel, DRAIN_CHECK_INTERVAL, remove_when_idle, server);
 }
 
 static void
--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -9,13 +9,13 @@
 #include <unistd.h>
 
 /* Rates are divisors, so they must not be 0. */
-#define LEAST_RATE 0.001
+#define MIN_RATE 0.001
 
 #define EXPORT_TIMEOUT_S 5
 
 /* The weight store serves one download after the other, so a fetch may wait for many others. */
-#define WEIGHTS_TIMEOUT_S 3600
-#define WEIGHTS_RETRY     KNL_SEC
+#define WEIGHTS_TIMEOUT_S   3600
+#define WEIGHTS_RETRY_DELAY KNL_SEC
 
 typedef struct
 {
@@ -97,7 +97,7 @@
 }
 
 static void
-on_reader_gone (gpointer data)
+on_client_closed (gpointer data)
 {
   SdExchange *exchange = data;
   SdEngine *engine = ((Program *)exchange->server)->engine;
@@ -110,7 +110,7 @@
 static void
 open_stream (SdExchange *exchange)
 {
-  exchange->on_closed = on_reader_gone;
+  exchange->on_closed = on_client_closed;
   exchange->closed_data = exchange;
   ((Program *)exchange->server)->streams++;
 }
@@ -152,7 +152,7 @@
     .imports = json_object_get (body, "imports"),
     .imported_tokens = imported,
   };
-  SdAdmission admission = SD_IMPORT_GONE;
+  SdAdmission admission = SD_IMPORT_LOST;
 
   if (exchange->request == NULL)
     {
@@ -214,21 +214,21 @@
 }
 
 static void
-ask_export (Program *program,
-            const char *address,
-            const char *request,
-            SdAnswerFunc done,
-            gpointer data)
+request_export (Program *program,
+                const char *address,
+                const char *request,
+                SdAnswerFunc done,
+                gpointer data)
 {
-  sd_server_ask (&program->server, address, EVHTTP_REQ_POST, "/v1/kv/export",
-                 json_pack ("{s:s}", "request", request), EXPORT_TIMEOUT_S, done, data);
+  sd_server_request (&program->server, address, EVHTTP_REQ_POST, "/v1/kv/export",
+                     json_pack ("{s:s}", "request", request), EXPORT_TIMEOUT_S, done, data);
 }
 
 static void
 import_held (SdExchange *exchange, gpointer data)
 {
-  ask_export (data, sd_json_text (exchange->body, "from", ""),
-              sd_json_text (exchange->body, "request", ""), on_held, exchange);
+  request_export (data, sd_json_text (exchange->body, "from", ""),
+                  sd_json_text (exchange->body, "request", ""), on_held, exchange);
 }
 
 static void
@@ -286,10 +286,10 @@
 static void
 export_from (const char *address, const char *request, SdImport *import, gpointer data)
 {
-  ask_export (data, address, request, on_exported, import);
+  request_export (data, address, request, on_exported, import);
 }
 
-static void ask_weights (gpointer data);
+static void request_weights (gpointer data);
 
 /* The store may be down or slow for a long time; no model is served until it answers. */
 static void
@@ -299,14 +299,14 @@
 
   program->weights = NULL;
   if (status == 200)
-    sd_engine_take_weights (program->engine);
+    sd_engine_receive_weights (program->engine);
   else
     program->weights_retry =
-        knl_timer_start (program->server.kernel, WEIGHTS_RETRY, ask_weights, program);
+        knl_timer_start (program->server.kernel, WEIGHTS_RETRY_DELAY, request_weights, program);
 }
 
 static void
-ask_weights (gpointer data)
+request_weights (gpointer data)
 {
   Program *program = data;
   char *name = evhttp_encode_uri (program->weights_name);
@@ -314,8 +314,8 @@
 
   program->weights_retry = 0;
   program->weights =
-      sd_server_ask (&program->server, program->server.platform_address, EVHTTP_REQ_GET, path, NULL,
-                     WEIGHTS_TIMEOUT_S, on_weights, program);
+      sd_server_request (&program->server, program->server.platform_address, EVHTTP_REQ_GET, path,
+                         NULL, WEIGHTS_TIMEOUT_S, on_weights, program);
   free (name);
 }
 
@@ -329,9 +329,9 @@
   program->weights_name = g_intern_string (name);
   program->weights_bytes = bytes;
   if (program->server.platform_address != NULL)
-    ask_weights (program);
+    request_weights (program);
   else
-    sd_engine_take_weights (program->engine);
+    sd_engine_receive_weights (program->engine);
 }
 
 static const SdEngineHost host = {
@@ -347,9 +347,9 @@
   SdEngineSettings values = program->settings;
 
   values.incarnation = (guint64)g_get_real_time ();
-  values.prefill_rate = MAX (values.prefill_rate, LEAST_RATE);
-  values.decode_rate = MAX (values.decode_rate, LEAST_RATE);
-  values.clock_factor = MAX (values.clock_factor, LEAST_RATE);
+  values.prefill_rate = MAX (values.prefill_rate, MIN_RATE);
+  values.decode_rate = MAX (values.decode_rate, MIN_RATE);
+  values.clock_factor = MAX (values.clock_factor, MIN_RATE);
   values.hold_limit *= KNL_MSEC;
   values.load_lag *= KNL_MSEC;
   values.cache_lag *= KNL_MSEC;
--- a/tests/standins/standin_load.c
+++ b/tests/standins/standin_load.c
@@ -6,17 +6,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ATTEMPTS      3
-#define RETRY_DELAY   (100 * KNL_MSEC)
-#define ASK_ATTEMPTS  50
-#define ASK_TIMEOUT_S 5
+#define MAX_ATTEMPTS      3
+#define RETRY_DELAY       (100 * KNL_MSEC)
+#define MAX_ENTRIES_POLLS 50
+#define REQUEST_TIMEOUT_S 5
 
 typedef struct
 {
   const char *name;
   guint percent;
-  gint32 least;
-  gint32 most;
+  gint32 min_length;
+  gint32 max_length;
 } LengthClass;
 
 /* Distribution of the users' prompt lengths: one in fifty is longer than 100,000 tokens. */
@@ -31,7 +31,7 @@
 {
   GArray *first_tokens; /* KnlTime */
   guint started;
-  guint whole;
+  guint complete;
   guint wrong;
   guint retries;
   json_t *outcomes; /* "outcome/code": count */
@@ -54,15 +54,15 @@
   char **tokens;
   char **seeds;    /* addresses of entries from the command line */
   json_t *entries; /* latest list of entries, initially the seeds */
-  KnlTime entries_until;
-  gboolean asking;
-  guint asked;    /* consecutive failed requests for the list of entries */
-  GQueue waiting; /* Call that wait for a fresh list of entries */
+  KnlTime entries_expire_at;
+  gboolean polling;
+  guint failed_polls; /* consecutive failed requests for the list of entries */
+  GQueue waiting;     /* Call that wait for a fresh list of entries */
   GRand *rand;
   guint started;
   guint running;
   KnlTime started_at;
-  gboolean once_whole;
+  gboolean once_complete;
   ClassResult results[G_N_ELEMENTS (classes)];
 } Program;
 
@@ -95,11 +95,11 @@
 } Call;
 
 static void start_call (gpointer data);
-static void ask_entries (gpointer data);
+static void poll_entries (gpointer data);
 static void finish_call (Call *call, const SdCompletionResult *result);
 
 static const char *
-any_entry (Program *program)
+pick_entry (Program *program)
 {
   gint32 count = (gint32)json_array_size (program->entries);
   gint32 index = g_rand_int_range (program->rand, 0, count);
@@ -108,15 +108,15 @@
 }
 
 static void
-keep_entries (Program *program, json_t *list, KnlTime keep)
+store_entries (Program *program, json_t *list, KnlTime ttl)
 {
   json_decref (program->entries);
   program->entries = json_incref (list);
-  program->entries_until = knl_kernel_now (program->server.kernel) + keep;
+  program->entries_expire_at = knl_kernel_now (program->server.kernel) + ttl;
 }
 
 static void
-take_entries (int status, json_t *body, gpointer data)
+on_entries (int status, json_t *body, gpointer data)
 {
   Program *program = data;
   json_t *list = json_object_get (body, "entries");
@@ -127,15 +127,15 @@
   GQueue waiting = program->waiting;
   Call *call;
 
-  program->asking = FALSE;
-  if (!good && ++program->asked < ASK_ATTEMPTS)
+  program->polling = FALSE;
+  if (!good && ++program->failed_polls < MAX_ENTRIES_POLLS)
     {
-      knl_timer_start (program->server.kernel, RETRY_DELAY, ask_entries, program);
+      knl_timer_start (program->server.kernel, RETRY_DELAY, poll_entries, program);
       return;
     }
   if (good)
-    keep_entries (program, list, sd_json_number (body, "keep_ms", 1000) * KNL_MSEC);
-  program->asked = 0;
+    store_entries (program, list, sd_json_number (body, "keep_ms", 1000) * KNL_MSEC);
+  program->failed_polls = 0;
   g_queue_init (&program->waiting);
   while ((call = g_queue_pop_head (&waiting)) != NULL)
     {
@@ -148,18 +148,19 @@
 
 /* All entries of the latest list may have been replaced meanwhile: alternate with the seeds. */
 static void
-ask_entries (gpointer data)
+poll_entries (gpointer data)
 {
   Program *program = data;
   guint seeds = g_strv_length (program->seeds);
-  const char *address =
-      program->asked % 2 == 0 ? any_entry (program) : program->seeds[program->asked / 2 % seeds];
+  const char *address = program->failed_polls % 2 == 0
+                            ? pick_entry (program)
+                            : program->seeds[program->failed_polls / 2 % seeds];
 
-  if (program->asking)
+  if (program->polling)
     return;
-  program->asking = TRUE;
-  sd_server_ask (&program->server, address, EVHTTP_REQ_GET, "/v1/entries", NULL, ASK_TIMEOUT_S,
-                 take_entries, program);
+  program->polling = TRUE;
+  sd_server_request (&program->server, address, EVHTTP_REQ_GET, "/v1/entries", NULL,
+                     REQUEST_TIMEOUT_S, on_entries, program);
 }
 
 static void
@@ -171,7 +172,7 @@
 
   json_object_set_new (result->outcomes, name, json_integer (count + 1));
   g_free (name);
-  result->whole += completion->whole ? 1 : 0;
+  result->complete += completion->complete ? 1 : 0;
   result->wrong += completion->wrong ? 1 : 0;
   if (completion->first_token >= 0)
     g_array_append_val (result->first_tokens, completion->first_token);
@@ -198,7 +199,7 @@
 {
   print_json (json_pack ("{s:s, s:s, s:s, s:I, s:b, s:b, s:f, s:f}", "request", r->request,
                          "outcome", r->outcome, "code", r->code, "tokens", (json_int_t)r->tokens,
-                         "whole", r->whole, "wrong", r->wrong, "first_token_ms",
+                         "whole", r->complete, "wrong", r->wrong, "first_token_ms",
                          milliseconds (r->first_token), "total_ms", milliseconds (r->total)));
 }
 
@@ -231,10 +232,10 @@
   Program *program = call->program;
   gboolean not_run = result->unreachable || strcmp (result->code, "draining") == 0;
 
-  if (!not_run || call->attempts >= ATTEMPTS)
+  if (!not_run || call->attempts >= MAX_ATTEMPTS)
     return FALSE;
   program->results[call->class_index].retries++;
-  program->entries_until = 0;
+  program->entries_expire_at = 0;
   knl_timer_start (program->server.kernel, RETRY_DELAY, start_call, call);
   return TRUE;
 }
@@ -247,7 +248,7 @@
   count_outcome (&program->results[call->class_index], result);
   if (program->once)
     print_once (result);
-  program->once_whole = result->whole;
+  program->once_complete = result->complete;
   end_call (call);
 }
 
@@ -271,20 +272,20 @@
     .timeout_ms = program->timeout_ms,
   };
 
-  if (knl_kernel_now (program->server.kernel) >= program->entries_until)
+  if (knl_kernel_now (program->server.kernel) >= program->entries_expire_at)
     {
       g_queue_push_tail (&program->waiting, call);
-      if (program->asked == 0)
-        ask_entries (program);
+      if (program->failed_polls == 0)
+        poll_entries (program);
       return;
     }
-  completion.address = any_entry (program);
+  completion.address = pick_entry (program);
   call->attempts++;
   sd_completion_start (&program->server, &completion, on_completion, call);
 }
 
 static guint
-any_class (Program *program)
+pick_class (Program *program)
 {
   guint roll = (guint)g_rand_int_range (program->rand, 0, 100);
   guint i = 0;
@@ -299,7 +300,7 @@
 {
   guint i = 0;
 
-  while (i + 1 < G_N_ELEMENTS (classes) && tokens > classes[i].most)
+  while (i + 1 < G_N_ELEMENTS (classes) && tokens > classes[i].max_length)
     i++;
   return i;
 }
@@ -320,10 +321,10 @@
     }
   call = g_new0 (Call, 1);
   call->program = program;
-  call->class_index = program->once ? class_of (program->prompt_tokens) : any_class (program);
+  call->class_index = program->once ? class_of (program->prompt_tokens) : pick_class (program);
   class = &classes[call->class_index];
   tokens = program->once ? program->prompt_tokens
-                         : g_rand_int_range (program->rand, class->least, class->most);
+                         : g_rand_int_range (program->rand, class->min_length, class->max_length);
   call->prompt = sd_prompt_new ((guint64)tokens, g_rand_int (program->rand));
   call->token = program->tokens[program->started % g_strv_length (program->tokens)];
   program->results[call->class_index].started++;
@@ -356,7 +357,7 @@
 {
   g_array_sort (result->first_tokens, compare_times);
   return json_pack ("{s:s, s:i, s:i, s:i, s:i, s:f, s:f, s:f, s:O}", "class", class->name,
-                    "started", (int)result->started, "whole", (int)result->whole, "wrong",
+                    "started", (int)result->started, "whole", (int)result->complete, "wrong",
                     (int)result->wrong, "retries", (int)result->retries, "first_token_p50_ms",
                     percentile (result->first_tokens, 50), "first_token_p90_ms",
                     percentile (result->first_tokens, 90), "first_token_p99_ms",
@@ -403,7 +404,7 @@
 
   if (!program->once)
     print_results (program);
-  program->server.status = program->once && !program->once_whole ? 1 : 0;
+  program->server.status = program->once && !program->once_complete ? 1 : 0;
   for (guint i = 0; i < G_N_ELEMENTS (classes); i++)
     {
       g_array_unref (program->results[i].first_tokens);
--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -7,7 +7,7 @@
 
 #include <string.h>
 
-#define SCAN_LIMIT 1000
+#define MAX_SCAN_ROWS 1000
 
 typedef struct
 {
@@ -54,9 +54,9 @@
   gboolean prefix = strcmp (exchange->path, "/table/scan") == 0;
   const char *key = sd_exchange_query (exchange, prefix ? "prefix" : "key", "");
   const char *after = sd_exchange_query (exchange, "after", NULL);
-  const char *limit = sd_exchange_query (exchange, "limit", G_STRINGIFY (SCAN_LIMIT));
+  const char *limit = sd_exchange_query (exchange, "limit", G_STRINGIFY (MAX_SCAN_ROWS));
   json_t *rows = sd_table_read (platform->table, key, prefix, after,
-                                MIN ((guint)g_ascii_strtoull (limit, NULL, 10), SCAN_LIMIT));
+                                MIN ((guint)g_ascii_strtoull (limit, NULL, 10), MAX_SCAN_ROWS));
 
   if (rows != NULL)
     sd_exchange_reply (exchange, 200, rows);
@@ -98,7 +98,7 @@
 {
   double bytes = g_ascii_strtod (sd_exchange_query (exchange, "bytes", "0"), NULL);
   KnlKernel *kernel = platform->server.kernel;
-  KnlTime wait = sd_weight_store_take (&platform->weights, knl_kernel_now (kernel), bytes);
+  KnlTime wait = sd_weight_store_enqueue (&platform->weights, knl_kernel_now (kernel), bytes);
 
   knl_timer_start (kernel, wait, answer_weights, exchange);
 }
@@ -162,9 +162,9 @@
   Platform *platform = data;
   const json_t *body = exchange->body;
   char **parts = g_strsplit (exchange->path + strlen ("/instances/"), "/", 2);
-  gboolean named = g_strv_length (parts) == 2;
+  gboolean has_name = g_strv_length (parts) == 2;
   const SdInstance instance = {
-    .name = named ? parts[1] : NULL,
+    .name = has_name ? parts[1] : NULL,
     .kind = parts[0],
     .address = sd_json_text (body, "address", ""),
     .zone = sd_json_text (body, "zone", ""),
@@ -173,11 +173,11 @@
     .state = sd_json_text (body, "state", "live"),
   };
 
-  if (named && evhttp_request_get_command (exchange->request) == EVHTTP_REQ_PUT)
+  if (has_name && evhttp_request_get_command (exchange->request) == EVHTTP_REQ_PUT)
     sd_instance_list_put (platform->instances, &instance);
-  else if (named)
+  else if (has_name)
     sd_instance_list_remove (platform->instances, parts[0], parts[1]);
-  sd_exchange_refuse (exchange, named ? 200 : 404, NULL);
+  sd_exchange_refuse (exchange, has_name ? 200 : 404, NULL);
   g_strfreev (parts);
 }
 
--- a/tests/standins/standin_proxy.c
+++ b/tests/standins/standin_proxy.c
@@ -119,7 +119,7 @@
 }
 
 static void
-forward_late (gpointer data)
+forward_delayed (gpointer data)
 {
   Piece *piece = data;
   Direction *direction = piece->direction;
@@ -151,7 +151,7 @@
   piece->data = evbuffer_new ();
   evbuffer_add_buffer (piece->data, input);
   direction->delayed++;
-  knl_timer_start (program->server.kernel, program->delay, forward_late, piece);
+  knl_timer_start (program->server.kernel, program->delay, forward_delayed, piece);
 }
 
 /* `data` is the direction that reads from `to`; the bytes written to `to` are the other one's. */
@@ -231,16 +231,16 @@
 set_freeze (Program *program, const json_t *body)
 {
   const char *direction = sd_json_text (body, "direction", "both");
-  gboolean ways[2] = { strcmp (direction, "from-target") != 0,
-                       strcmp (direction, "to-target") != 0 };
+  gboolean selected[2] = { strcmp (direction, "from-target") != 0,
+                           strcmp (direction, "to-target") != 0 };
   GHashTableIter iter;
   gpointer connection;
 
   for (guint i = 0; i < 2; i++)
     {
-      program->freeze_new[i] = ways[i] && sd_json_true (body, "new");
+      program->freeze_new[i] = selected[i] && sd_json_true (body, "new");
       g_hash_table_iter_init (&iter, program->connections);
-      while (ways[i] && g_hash_table_iter_next (&iter, &connection, NULL))
+      while (selected[i] && g_hash_table_iter_next (&iter, &connection, NULL))
         direction_freeze (&((Connection *)connection)->directions[i]);
     }
 }
--- a/tests/standins/weight_store_model.h
+++ b/tests/standins/weight_store_model.h
@@ -11,4 +11,4 @@
 } SdWeightStore;
 
 /** Queues a download at time `now`; returns the time until its last byte is sent. */
-KnlTime sd_weight_store_take (SdWeightStore *store, KnlTime now, double bytes);
+KnlTime sd_weight_store_enqueue (SdWeightStore *store, KnlTime now, double bytes);
--- a/tests/unit/ct_controller_test.c
+++ b/tests/unit/ct_controller_test.c
@@ -223,7 +223,7 @@
                                "long", 20000, 100000, 600 * KNL_SEC);
   advance (fixture, 5 * KNL_SEC);
   for (guint i = 0; i < ENGINES; i++)
-    used_tokens += sd_engine_taken (engine_at (fixture, i));
+    used_tokens += sd_engine_reserved_tokens (engine_at (fixture, i));
   CU_ASSERT_TRUE (used_tokens > 0);
   fk_deployment_kill (fixture->deployment, 0, FK_ENTRY);
   advance (fixture, restarts ? KNL_SEC : 80 * KNL_SEC);
@@ -231,7 +231,7 @@
     fk_deployment_start (fixture->deployment, 0, FK_ENTRY);
   advance (fixture, 10 * KNL_SEC);
   for (guint i = 0; i < ENGINES; i++)
-    CU_ASSERT_EQUAL (sd_engine_taken (engine_at (fixture, i)), 0);
+    CU_ASSERT_EQUAL (sd_engine_reserved_tokens (engine_at (fixture, i)), 0);
   fk_caller_free (caller);
 }
 
--- a/tests/unit/en_faults_test.c
+++ b/tests/unit/en_faults_test.c
@@ -196,7 +196,7 @@
   guint64 taken = 0;
 
   for (guint e = 0; e < EN_FIXTURE_ENGINES; e++)
-    taken += sd_engine_taken (fk_fleet_engine (fixture->fleet, en_fixture_engine (e)));
+    taken += sd_engine_reserved_tokens (fk_fleet_engine (fixture->fleet, en_fixture_engine (e)));
   return taken;
 }
 
--- a/tests/unit/en_fixture.c
+++ b/tests/unit/en_fixture.c
@@ -279,7 +279,7 @@
     {
       SdEngine *engine = fk_fleet_engine (self->fleet, addresses[i]);
 
-      taken += engine != NULL ? sd_engine_taken (engine) : 0;
+      taken += engine != NULL ? sd_engine_reserved_tokens (engine) : 0;
     }
   for (guint i = 0; i < endpoints->len; i++)
     {
--- a/tests/unit/engine_model_test.c
+++ b/tests/unit/engine_model_test.c
@@ -178,18 +178,18 @@
 }
 
 static void
-test_a_whole_answer_and_its_memory (void)
+test_complete_answer_and_its_memory (void)
 {
   g_auto (Fixture) f = fixture_new ();
   EpGenerate generate = generation (&f, "r", 1000);
   g_autoptr (GString) expected = g_string_new (NULL);
   send (&f, 0, &generate, KNL_SEC);
-  CU_ASSERT_EQUAL (sd_engine_taken (engine_of (&f)), 1100);
+  CU_ASSERT_EQUAL (sd_engine_reserved_tokens (engine_of (&f)), 1100);
   knl_paused_clock_advance (f.clock, 2 * KNL_SEC);
   sd_answer_append (expected, sd_prompt_hash (f.prompt, 4000), 0, 100);
   CU_ASSERT_TRUE (f.answers[0].ended);
   CU_ASSERT_STRING_EQUAL (f.answers[0].text->str, expected->str);
-  CU_ASSERT_EQUAL (sd_engine_taken (engine_of (&f)), 0);
+  CU_ASSERT_EQUAL (sd_engine_reserved_tokens (engine_of (&f)), 0);
   generate.resume = TRUE;
   generate.from_offset = 60;
   send (&f, 1, &generate, KNL_SEC);
@@ -236,7 +236,7 @@
       CU_ASSERT_STRING_EQUAL (f.answers[0].detail, rows[i].detail);
       CU_ASSERT_EQUAL (f.answers[0].leaving, rows[i].leave);
       CU_ASSERT_EQUAL (f.ran, 0);
-      CU_ASSERT_EQUAL (sd_engine_taken (engine_of (&f)), 0);
+      CU_ASSERT_EQUAL (sd_engine_reserved_tokens (engine_of (&f)), 0);
     }
 }
 
@@ -278,7 +278,7 @@
       CU_ASSERT_EQUAL (f.answers[0].tokens > 0, rows[i].some_tokens);
       CU_ASSERT_EQUAL (f.ran, rows[i].ran);
       knl_paused_clock_advance (f.clock, 6 * KNL_SEC);
-      CU_ASSERT_EQUAL (sd_engine_taken (engine_of (&f)), 0);
+      CU_ASSERT_EQUAL (sd_engine_reserved_tokens (engine_of (&f)), 0);
     }
 }
 
@@ -336,7 +336,7 @@
       ep_client_cancel (f.client, ADDRESS, "r", on_done, &f);
       knl_paused_clock_advance (f.clock, 2 * KNL_SEC);
       CU_ASSERT_EQUAL (f.acknowledged, i);
-      CU_ASSERT_EQUAL (sd_engine_taken (engine_of (&f)), i == 0 ? 2000 : 0);
+      CU_ASSERT_EQUAL (sd_engine_reserved_tokens (engine_of (&f)), i == 0 ? 2000 : 0);
     }
   CU_ASSERT_STRING_EQUAL (f.answers[0].detail, "cancelled");
 }
@@ -377,7 +377,7 @@
  * Checks that the model reproduces this: a resumed engine carries out requests already received.
  */
 static void
-test_a_frozen_engine_runs_late_what_was_given_up_on (void)
+test_resumed_engine_runs_timed_out_requests (void)
 {
   g_auto (Fixture) f = fixture_new ();
   EpGenerate generate = generation (&f, "r", 1000);
@@ -388,35 +388,35 @@
   fk_fleet_set_frozen (f.fleet, ADDRESS, FALSE);
   knl_paused_clock_advance (f.clock, KNL_SEC);
   CU_ASSERT_EQUAL (sd_engine_ran (engine_of (&f))->len, 1);
-  CU_ASSERT_EQUAL (sd_engine_taken (engine_of (&f)), 1100);
+  CU_ASSERT_EQUAL (sd_engine_reserved_tokens (engine_of (&f)), 1100);
   knl_paused_clock_advance (f.clock, 6 * KNL_SEC);
-  CU_ASSERT_EQUAL (sd_engine_taken (engine_of (&f)), 0);
+  CU_ASSERT_EQUAL (sd_engine_reserved_tokens (engine_of (&f)), 0);
 }
 
 /* A prompt too large for one engine: its first part is held on another engine, then imported. */
 static void
-test_held_parts_are_imported_and_their_loss_is_told (void)
+test_held_parts_are_imported_and_their_loss_is_reported (void)
 {
   for (guint lost = 0; lost < 2; lost++)
     {
       g_auto (Fixture) f = fixture_new ();
       EpGenerate part = generation (&f, "part", 300000);
-      EpGenerate whole = generation (&f, "whole", 400000);
+      EpGenerate full = generation (&f, "whole", 400000);
       part.address = OTHER;
       part.hold = TRUE;
       part.idle_limit = 60 * KNL_SEC;
-      whole.imports = "[{\"engine\":\"" OTHER "\",\"request\":\"part\"}]";
-      whole.idle_limit = 60 * KNL_SEC;
+      full.imports = "[{\"engine\":\"" OTHER "\",\"request\":\"part\"}]";
+      full.idle_limit = 60 * KNL_SEC;
       send (&f, 0, &part, 16 * KNL_SEC);
       CU_ASSERT_TRUE (f.answers[0].ended);
-      send (&f, 1, &whole, KNL_SEC / 2);
-      CU_ASSERT_EQUAL (sd_engine_taken (engine_of (&f)), 100100);
+      send (&f, 1, &full, KNL_SEC / 2);
+      CU_ASSERT_EQUAL (sd_engine_reserved_tokens (engine_of (&f)), 100100);
       if (lost)
         fk_fleet_crash (f.fleet, OTHER);
       knl_paused_clock_advance (f.clock, 15 * KNL_SEC);
       CU_ASSERT_EQUAL (f.answers[1].ended, !lost);
       CU_ASSERT_STRING_EQUAL (f.answers[1].detail, lost ? "import" : "");
-      CU_ASSERT_EQUAL (sd_engine_taken (engine_of (&f)), 0);
+      CU_ASSERT_EQUAL (sd_engine_reserved_tokens (engine_of (&f)), 0);
     }
 }
 
@@ -459,17 +459,16 @@
 static const SuiteCase cases[] = {
   { "a long prefill delays short ones of its priority",
     test_long_prefill_delays_short_ones_of_its_priority },
-  { "a complete answer, also resumed, and its memory", test_a_whole_answer_and_its_memory },
+  { "a complete answer, also resumed, and its memory", test_complete_answer_and_its_memory },
   { "refusals, by table", test_refusals_by_table },
   { "faults of connections, by table", test_connection_faults_by_table },
   { "bad frames, by table", test_bad_frames_by_table },
   { "a lost cancel leaves memory taken", test_a_lost_cancel_leaves_memory_taken },
   { "a crash cuts all, a restart has a new incarnation",
     test_a_crash_cuts_all_and_a_restart_has_a_new_incarnation },
-  { "a resumed engine runs requests that timed out",
-    test_a_frozen_engine_runs_late_what_was_given_up_on },
+  { "a resumed engine runs requests that timed out", test_resumed_engine_runs_timed_out_requests },
   { "held parts are imported, their loss is reported",
-    test_held_parts_are_imported_and_their_loss_is_told },
+    test_held_parts_are_imported_and_their_loss_is_reported },
   { "prefixes are cached, published and evicted", test_prefixes_are_cached_published_and_evicted },
   { "the load report lags", test_the_load_report_lags },
 };
--- a/tests/unit/ht_reader_test.c
+++ b/tests/unit/ht_reader_test.c
@@ -74,10 +74,10 @@
 
   while (used < length && status == HT_READ_MORE)
     {
-      gsize taken = 0;
+      gsize consumed = 0;
 
-      status = ht_reader_feed (reader, row->bytes + used, MIN (step, length - used), &taken);
-      used += taken;
+      status = ht_reader_feed (reader, row->bytes + used, MIN (step, length - used), &consumed);
+      used += consumed;
     }
   if (status != row->status)
     printf ("%s by %" G_GSIZE_FORMAT ": %d\n", row->name, step, status);
@@ -118,9 +118,9 @@
   HtReader *reader = ht_reader_new (FALSE, &limits, &no_events, NULL);
   g_autofree char *filler = g_strnfill (500, 'x');
   g_autofree char *text = g_strdup_printf ("GET /a HTTP/1.1\r\nA: %s\r\n\r\n", filler);
-  gsize taken;
+  gsize consumed;
 
-  CU_ASSERT_EQUAL (ht_reader_feed (reader, text, strlen (text), &taken), HT_READ_HEAD_LARGE);
+  CU_ASSERT_EQUAL (ht_reader_feed (reader, text, strlen (text), &consumed), HT_READ_HEAD_LARGE);
   ht_reader_free (reader);
 }
 
@@ -142,9 +142,9 @@
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
     {
       HtReader *reader = ht_reader_new (TRUE, &limits, &no_events, NULL);
-      gsize taken;
+      gsize consumed;
 
-      CU_ASSERT_EQUAL (ht_reader_feed (reader, rows[i].bytes, strlen (rows[i].bytes), &taken),
+      CU_ASSERT_EQUAL (ht_reader_feed (reader, rows[i].bytes, strlen (rows[i].bytes), &consumed),
                        HT_READ_MORE);
       CU_ASSERT_EQUAL (ht_reader_finish (reader), rows[i].status);
       ht_reader_free (reader);
--- a/tests/unit/pl_decode_test.c
+++ b/tests/unit/pl_decode_test.c
@@ -48,7 +48,7 @@
 }
 
 static void
-test_no_config (void)
+test_invalid_config (void)
 {
   static const char *const texts[] = {
     "{}", "[]", "{\"version\":\"7\"}", "null", "{\"version\":7", "{\"version\":7}}"
@@ -104,7 +104,7 @@
  * mixed up, or freed with the configuration that they came from.
  */
 static void
-test_unchanged_routes_are_taken_over (void)
+test_unchanged_routes_are_reused (void)
 {
   g_autofree char *changed =
       replace_first (config_text, "\"timeoutMs\":1000,", "\"timeoutMs\":900,");
@@ -138,11 +138,11 @@
 
   for (gsize length = 0; length < strlen (config_text); length += 13)
     {
-      g_autofree char *half = g_strndup (config_text, length);
-      g_autofree char *spoilt = g_strconcat (half, "\x01", config_text + length, NULL);
+      g_autofree char *truncated = g_strndup (config_text, length);
+      g_autofree char *corrupted = g_strconcat (truncated, "\x01", config_text + length, NULL);
 
-      CU_ASSERT_PTR_NULL (decode_by (decoder, half, 64));
-      CU_ASSERT_PTR_NULL (decode_by (decoder, spoilt, 64));
+      CU_ASSERT_PTR_NULL (decode_by (decoder, truncated, 64));
+      CU_ASSERT_PTR_NULL (decode_by (decoder, corrupted, 64));
     }
   CU_ASSERT_PTR_NULL (pl_config_decoder_end (decoder));
   pl_config_decoder_begin (decoder);
@@ -429,7 +429,7 @@
 }
 
 static void
-test_words_of_leaving (void)
+test_leaving_signal (void)
 {
   static const struct
   {
@@ -453,7 +453,7 @@
 }
 
 static void
-test_rests_that_answers_ask_for (void)
+test_retry_after_delays (void)
 {
   static const struct
   {
@@ -493,18 +493,18 @@
 
 static const SuiteCase cases[] = {
   { "a configuration in pieces", test_config_in_pieces },
-  { "unchanged routes are taken over", test_unchanged_routes_are_taken_over },
+  { "unchanged routes are taken over", test_unchanged_routes_are_reused },
   { "a broken configuration", test_broken_config },
   { "answers of the store", test_answers },
   { "a configuration", test_config },
-  { "no configuration", test_no_config },
+  { "no configuration", test_invalid_config },
   { "entries of endpoints", test_endpoints },
   { "all errors of the settings are reported", test_settings_findings },
   { "forwarded fields", test_forwarded_fields },
   { "fields of an endpoint's answer", test_replies },
   { "limits advertised in answers", test_limits },
-  { "the signal that an endpoint leaves", test_words_of_leaving },
-  { "delays in Retry-After", test_rests_that_answers_ask_for },
+  { "the signal that an endpoint leaves", test_leaving_signal },
+  { "delays in Retry-After", test_retry_after_delays },
 };
 
 SUITE_MAIN ("pl_decode", cases)
--- a/tests/unit/pl_mirror_test.c
+++ b/tests/unit/pl_mirror_test.c
@@ -166,7 +166,7 @@
 static void
 advance (Fixture *self, KnlTime time)
 {
-  for (KnlTime passed = 0; passed < time; passed += STEP)
+  for (KnlTime elapsed = 0; elapsed < time; elapsed += STEP)
     {
       for (guint iteration = 0; iteration < 20; iteration++)
         event_base_loop (self->base, EVLOOP_NONBLOCK);
@@ -182,7 +182,7 @@
 
 /* The first request arrives before the mirror is opened, and waits. */
 static void
-test_changes_are_passed_on (void)
+test_changes_are_forwarded (void)
 {
   Fixture fixture;
 
@@ -208,7 +208,7 @@
  * derive the changes between the two lists, rows missing in the second one included.
  */
 static void
-test_a_new_list_is_passed_on_as_changes (void)
+test_a_new_list_is_forwarded_as_changes (void)
 {
   Fixture fixture;
 
@@ -489,7 +489,7 @@
 }
 
 static void
-walk_pass (Walk *self)
+walk_wait (Walk *self)
 {
   advance (&self->fixture, 30 * STEP);
 }
@@ -508,7 +508,7 @@
 walk (guint order)
 {
   static void (*const steps[WALK_EVENTS]) (Walk *) = {
-    walk_write, walk_remove, walk_copy, walk_restore, walk_toggle_outage, walk_pass,
+    walk_write, walk_remove, walk_copy, walk_restore, walk_toggle_outage, walk_wait,
   };
   Walk self = { 0 };
 
@@ -535,7 +535,7 @@
 /* Guards against an order of writes, copies, restorations and outages after which the followers'
  * rows differ from the store's. */
 static void
-test_every_order_ends_alike (void)
+test_any_order_of_events (void)
 {
   guint orders = 1;
 
@@ -547,8 +547,8 @@
 
 static const SuiteCase cases[] = {
   { "pages of a list", test_pages_of_a_list },
-  { "changes are forwarded", test_changes_are_passed_on },
-  { "a new list is forwarded as changes", test_a_new_list_is_passed_on_as_changes },
+  { "changes are forwarded", test_changes_are_forwarded },
+  { "a new list is forwarded as changes", test_a_new_list_is_forwarded_as_changes },
   { "a client may have newer rows than the mirror", test_client_with_newer_rows },
   { "a mirror that does not follow the store refuses requests",
     test_mirror_not_following_the_store_refuses },
@@ -556,7 +556,7 @@
   { "clients that accept no packing get text", test_clients_without_packing_get_text },
   { "an era passes through the mirror", test_an_era_passes_through_the_mirror },
   { "a mirror of an older era answers nothing", test_a_mirror_of_an_older_era_answers_nothing },
-  { "rows are equal after any order of events", test_every_order_ends_alike },
+  { "rows are equal after any order of events", test_any_order_of_events },
 };
 
 SUITE_MAIN ("pl_mirror", cases)
--- a/tests/unit/pl_packing_test.c
+++ b/tests/unit/pl_packing_test.c
@@ -24,17 +24,17 @@
   PlUnpacker *unpacker = pl_unpacker_new ();
   gsize length;
   const char *bytes = g_bytes_get_data (packed, &length);
-  gboolean taken = TRUE;
+  gboolean accepted = TRUE;
 
-  for (gsize at = 0; at < length && taken; at += piece)
-    taken = pl_unpacker_feed (unpacker, bytes + at, MIN (piece, length - at), plain, max_bytes);
+  for (gsize at = 0; at < length && accepted; at += piece)
+    accepted = pl_unpacker_feed (unpacker, bytes + at, MIN (piece, length - at), plain, max_bytes);
   pl_unpacker_free (unpacker);
-  return taken;
+  return accepted;
 }
 
 /* Guards against a configuration that is truncated at the end of a packed piece. */
 static void
-test_any_pieces_give_the_same (void)
+test_pieces_of_any_size (void)
 {
   static const gsize pieces[] = { 1, 7, 1000, 16384, MAX_PLAIN_BYTES };
   g_autoptr (GBytes) plain = routes (9000);
@@ -68,7 +68,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "any pieces give the same", test_any_pieces_give_the_same },
+  { "any pieces give the same", test_pieces_of_any_size },
   { "large or unpacked bodies are refused", test_large_or_unpacked_bodies_are_refused },
 };
 
--- a/tests/unit/pl_store_test.c
+++ b/tests/unit/pl_store_test.c
@@ -94,12 +94,12 @@
 }
 
 static void
-on_confirmed (KnlTime asked_at, gpointer data)
+on_confirmed (KnlTime at, gpointer data)
 {
   Fixture *self = data;
 
   self->n_confirmed++;
-  self->confirmed_at = asked_at;
+  self->confirmed_at = at;
 }
 
 static const PlFeedEvents feed_events = {
@@ -125,11 +125,11 @@
                                    .coalesce_delay = COALESCE_DELAY,
                                    .max_coalesce_delay = MAX_COALESCE_DELAY };
   static const HtLimits limits = { 16384, 4 << 20 };
-  struct timeval limit = { .tv_sec = TEST_TIMEOUT_S };
+  struct timeval timeout = { .tv_sec = TEST_TIMEOUT_S };
 
   *self = (Fixture){ .base = event_base_new (), .clock = knl_paused_clock_new () };
   self->test_timeout = evtimer_new (self->base, on_test_timeout, NULL);
-  evtimer_add (self->test_timeout, &limit);
+  evtimer_add (self->test_timeout, &timeout);
   knl_paused_clock_advance (self->clock, 10 * KNL_SEC);
   self->kernel = knl_kernel_new (knl_paused_clock_runtime (self->clock), 5);
   self->client = ht_client_new (self->kernel, self->base, &limits, 60 * KNL_SEC);
@@ -207,30 +207,30 @@
  * without a change, it is valid for the end of that wait less 1.2 s.
  */
 static void
-test_confirmed_as_of_the_question (void)
+test_confirmed_for_request_time (void)
 {
   Fixture fixture;
-  KnlTime asked;
+  KnlTime requested_at;
   guint before;
 
   fixture_open (&fixture);
   wait_feeds (&fixture, 1);
-  asked = knl_kernel_now (fixture.kernel);
+  requested_at = knl_kernel_now (fixture.kernel);
   before = fixture.n_confirmed;
   knl_paused_clock_advance (fixture.clock, WAIT);
   while (fixture.n_confirmed == before)
     iterate (&fixture);
-  CU_ASSERT_EQUAL (fixture.confirmed_at, asked);
+  CU_ASSERT_EQUAL (fixture.confirmed_at, requested_at);
   wait_feeds (&fixture, 2);
   pl_feed_set_wait (fixture.feed, 5 * KNL_SEC);
   pl_feed_poll_now (fixture.feed);
   wait_feeds (&fixture, 3);
-  asked = knl_kernel_now (fixture.kernel);
+  requested_at = knl_kernel_now (fixture.kernel);
   before = fixture.n_confirmed;
   knl_paused_clock_advance (fixture.clock, 5 * KNL_SEC);
   while (fixture.n_confirmed == before)
     iterate (&fixture);
-  CU_ASSERT_EQUAL (fixture.confirmed_at, asked + 3800 * KNL_MSEC);
+  CU_ASSERT_EQUAL (fixture.confirmed_at, requested_at + 3800 * KNL_MSEC);
   fixture_close (&fixture);
 }
 
@@ -240,7 +240,7 @@
  * again.
  */
 static void
-test_history_gone (void)
+test_truncated_history (void)
 {
   Fixture fixture;
 
@@ -440,7 +440,7 @@
 }
 
 static void
-pass_steps (Fixture *self, guint steps)
+advance_steps (Fixture *self, guint steps)
 {
   for (guint i = 0; i < steps; i++)
     {
@@ -452,7 +452,7 @@
 
 /* Guards against changes that are missed since a restored store assigns the same versions again. */
 static void
-test_versions_are_given_out_again (void)
+test_versions_are_assigned_again (void)
 {
   Fixture fixture;
   guint64 version;
@@ -466,7 +466,7 @@
   wait_value (&fixture, "b", "lost");
   row_store_restore (fixture.rows, version);
   row_store_put (fixture.rows, "c", "{\"v\":\"other\"}");
-  pass_steps (&fixture, 40);
+  advance_steps (&fixture, 40);
   /* The lost row is removed, and the row that now has its version is present. */
   CU_ASSERT_FALSE (g_hash_table_contains (fixture.seen, "b"));
   CU_ASSERT_EQUAL (g_strcmp0 (g_hash_table_lookup (fixture.seen, "c"), "other"), 0);
@@ -491,7 +491,7 @@
     iterate (&fixture);
   row_store_restore (fixture.rows, version);
   row_store_put (fixture.rows, "d", "{\"v\":\"2\"}");
-  pass_steps (&fixture, 40);
+  advance_steps (&fixture, 40);
   CU_ASSERT_FALSE (g_hash_table_contains (fixture.seen, "b"));
   CU_ASSERT_FALSE (g_hash_table_contains (fixture.seen, "c"));
   CU_ASSERT_EQUAL (g_strcmp0 (g_hash_table_lookup (fixture.seen, "d"), "2"), 0);
@@ -501,7 +501,7 @@
 
 /* Guards against answers without an era, or of an earlier one, that are accepted as current. */
 static void
-test_answers_of_no_known_era (void)
+test_answers_of_unknown_or_earlier_era (void)
 {
   static const gint64 eras[] = { -1, 1 };
 
@@ -516,11 +516,11 @@
       row_store_set_era (fixture.rows, eras[i]);
       row_store_put (fixture.rows, "a", "{\"v\":\"2\"}");
       confirmed = fixture.n_confirmed;
-      pass_steps (&fixture, 40);
+      advance_steps (&fixture, 40);
       CU_ASSERT_EQUAL (fixture.n_confirmed, confirmed);
       CU_ASSERT_EQUAL (g_strcmp0 (g_hash_table_lookup (fixture.seen, "a"), "1"), 0);
       row_store_set_era (fixture.rows, 2);
-      pass_steps (&fixture, 40);
+      advance_steps (&fixture, 40);
       CU_ASSERT_EQUAL (g_strcmp0 (g_hash_table_lookup (fixture.seen, "a"), "2"), 0);
       fixture_close (&fixture);
     }
@@ -545,14 +545,14 @@
   row_store_set_era (fixture.rows, -1);
   row_store_set_mode (fixture.rows, ROW_STORE_REFUSES);
   pl_store_get (fixture.store, "t", NULL, on_status, &status);
-  pass_steps (&fixture, 2);
+  advance_steps (&fixture, 2);
   CU_ASSERT_EQUAL (status, PL_REFUSED);
   fixture_close (&fixture);
 }
 
 /* Guards against an era that is missed since another one follows at once. */
 static void
-test_eras_in_a_row (void)
+test_consecutive_eras (void)
 {
   Fixture fixture;
   guint64 version;
@@ -567,11 +567,11 @@
       row_store_restore (fixture.rows, version);
       row_store_put (fixture.rows, "c", "{\"v\":\"2\"}");
       row_store_set_mode (fixture.rows, i % 2 == 0 ? ROW_STORE_DROPS : ROW_STORE_SERVES);
-      pass_steps (&fixture, 2);
+      advance_steps (&fixture, 2);
     }
   row_store_set_mode (fixture.rows, ROW_STORE_SERVES);
   row_store_put (fixture.rows, "c", "{\"v\":\"3\"}");
-  pass_steps (&fixture, 40);
+  advance_steps (&fixture, 40);
   CU_ASSERT_FALSE (g_hash_table_contains (fixture.seen, "b"));
   CU_ASSERT_EQUAL (g_strcmp0 (g_hash_table_lookup (fixture.seen, "c"), "3"), 0);
   CU_ASSERT_EQUAL (pl_feed_position (fixture.feed).era, PL_ERA_OFFSET + 5);
@@ -580,17 +580,17 @@
 
 static const SuiteCase cases[] = {
   { "changes arrive", test_changes_arrive },
-  { "confirmed for the time of the request", test_confirmed_as_of_the_question },
-  { "truncated history", test_history_gone },
+  { "confirmed for the time of the request", test_confirmed_for_request_time },
+  { "truncated history", test_truncated_history },
   { "the store is unavailable", test_store_outage },
   { "a poll replaces a waiting request", test_poll_now },
   { "large values come in slices", test_large_values_come_in_slices },
   { "interrupted values", test_interrupted_values },
   { "the poll delay follows the processing time", test_poll_delay_follows_the_processing_time },
-  { "a restored store assigns the same versions", test_versions_are_given_out_again },
+  { "a restored store assigns the same versions", test_versions_are_assigned_again },
   { "an era begins within a list", test_an_era_begins_within_a_list },
-  { "answers of an unknown or earlier era", test_answers_of_no_known_era },
-  { "consecutive eras", test_eras_in_a_row },
+  { "answers of an unknown or earlier era", test_answers_of_unknown_or_earlier_era },
+  { "consecutive eras", test_consecutive_eras },
   { "refusals need no era", test_refusals_need_no_era },
 };
 
--- a/tests/unit/pl_transfer_test.c
+++ b/tests/unit/pl_transfer_test.c
@@ -106,7 +106,7 @@
 static void
 advance (Fixture *self, KnlTime time)
 {
-  for (KnlTime passed = 0; passed < time; passed += STEP)
+  for (KnlTime elapsed = 0; elapsed < time; elapsed += STEP)
     {
       for (guint iteration = 0; iteration < 30; iteration++)
         event_base_loop (self->base, EVLOOP_NONBLOCK);
@@ -164,14 +164,14 @@
 fixture_open (Fixture *self)
 {
   static const HtLimits limits = { 16384, 4 << 20 };
-  struct timeval limit = { .tv_sec = TEST_TIMEOUT_S };
+  struct timeval timeout = { .tv_sec = TEST_TIMEOUT_S };
   g_autofree char *address = NULL;
   g_autofree char *value = NULL;
 
   signal (SIGPIPE, SIG_IGN);
   *self = (Fixture){ .base = event_base_new (), .clock = knl_paused_clock_new () };
   self->test_timeout = evtimer_new (self->base, on_test_timeout, NULL);
-  evtimer_add (self->test_timeout, &limit);
+  evtimer_add (self->test_timeout, &timeout);
   knl_paused_clock_advance (self->clock, 10 * KNL_SEC);
   self->kernel = knl_kernel_new (knl_paused_clock_runtime (self->clock), 5);
   address = open_server (self);
@@ -230,7 +230,7 @@
 /* Guards against configurations that never arrive since the timeout for short answers ends their
  * transfer. */
 static void
-test_an_answer_that_keeps_coming_is_not_given_up (void)
+test_a_progressing_answer_is_not_cancelled (void)
 {
   Fixture fixture;
 
@@ -243,7 +243,7 @@
 
 /* Guards against instances that request the same configuration again and again, and apply none. */
 static void
-test_an_answer_under_way_is_not_asked_for_again (void)
+test_an_answer_being_received_is_not_requested_again (void)
 {
   Fixture fixture;
 
@@ -262,7 +262,7 @@
 /* Guards against a feed that waits indefinitely after the connection goes silent within an answer.
  */
 static void
-test_an_answer_that_stops_is_asked_for_again (void)
+test_a_stalled_answer_is_requested_again (void)
 {
   Fixture fixture;
 
@@ -278,13 +278,13 @@
 /* Guards against a feed that waits indefinitely for a source that sends a single byte now and then.
  */
 static void
-test_an_answer_that_trickles_is_asked_for_again (void)
+test_a_trickling_answer_is_requested_again (void)
 {
   Fixture fixture;
 
   fixture_open (&fixture);
   send_pieces (&fixture, PIECES / 2);
-  for (KnlTime passed = 0; passed < SILENCE; passed += PIECE_INTERVAL)
+  for (KnlTime elapsed = 0; elapsed < SILENCE; elapsed += PIECE_INTERVAL)
     {
       if (fixture.call != NULL && ht_call_has_begun (fixture.call))
         ht_call_send (fixture.call, " ", 1);
@@ -297,7 +297,7 @@
 /* Guards against a feed that doesn't poll again since its source sent the head of an answer at
  * once, before there were changes to send. */
 static void
-test_a_head_alone_is_no_answer_under_way (void)
+test_a_head_alone_is_not_receiving (void)
 {
   Fixture fixture;
 
@@ -312,13 +312,12 @@
 }
 
 static const SuiteCase cases[] = {
-  { "an answer that makes progress is not cancelled",
-    test_an_answer_that_keeps_coming_is_not_given_up },
+  { "an answer that makes progress is not cancelled", test_a_progressing_answer_is_not_cancelled },
   { "an answer being received is not requested again",
-    test_an_answer_under_way_is_not_asked_for_again },
-  { "an answer that stalls is requested again", test_an_answer_that_stops_is_asked_for_again },
-  { "an answer that trickles is requested again", test_an_answer_that_trickles_is_asked_for_again },
-  { "a head alone does not count as receiving", test_a_head_alone_is_no_answer_under_way },
+    test_an_answer_being_received_is_not_requested_again },
+  { "an answer that stalls is requested again", test_a_stalled_answer_is_requested_again },
+  { "an answer that trickles is requested again", test_a_trickling_answer_is_requested_again },
+  { "a head alone does not count as receiving", test_a_head_alone_is_not_receiving },
 };
 
 SUITE_MAIN ("pl_transfer", cases)
--- a/tests/unit/table_model_test.c
+++ b/tests/unit/table_model_test.c
@@ -8,7 +8,7 @@
 typedef struct
 {
   KnlPausedClock *clock;
-  KnlKernel *world;
+  KnlKernel *store_kernel;
   KnlKernel *kernel;
   KnlRuntime *runtime;
   FkStore *store;
@@ -26,10 +26,10 @@
 {
   Fixture f = { .clock = knl_paused_clock_new () };
 
-  f.world = knl_kernel_new (knl_paused_clock_runtime (f.clock), 1);
+  f.store_kernel = knl_kernel_new (knl_paused_clock_runtime (f.clock), 1);
   f.runtime = knl_paused_clock_runtime (f.clock);
   f.kernel = knl_kernel_new (f.runtime, 2);
-  f.store = fk_store_new (f.world, KNL_SEC);
+  f.store = fk_store_new (f.store_kernel, KNL_SEC);
   f.platform = fk_memory_platform_new (f.store, f.kernel);
   return f;
 }
@@ -41,7 +41,7 @@
   tb_platform_free (f->platform);
   fk_store_free (f->store);
   knl_kernel_free (f->kernel);
-  knl_kernel_free (f->world);
+  knl_kernel_free (f->store_kernel);
   knl_paused_clock_free (f->clock);
 }
 
@@ -184,7 +184,7 @@
 }
 
 static void
-test_cancelled_and_abandoned_calls_leave_nothing_behind (void)
+test_cancelled_and_abandoned_calls_do_not_leak (void)
 {
   g_auto (Fixture) f = fixture_new ();
   TbCallId call;
@@ -204,7 +204,7 @@
   json_auto_t *nothing = json_object ();
   json_t *answer;
   guint refused = 0;
-  table = sd_table_new (f.world, 10, 0);
+  table = sd_table_new (f.store_kernel, 10, 0);
   for (guint i = 0; i < 15; i++)
     {
       refused += sd_table_transact (table, nothing, &answer) == TB_UNAVAILABLE ? 1 : 0;
@@ -250,7 +250,7 @@
   { "a write takes effect while its sender is frozen",
     test_a_write_takes_effect_while_its_sender_is_frozen },
   { "cancelled and abandoned calls leave nothing behind",
-    test_cancelled_and_abandoned_calls_leave_nothing_behind },
+    test_cancelled_and_abandoned_calls_do_not_leak },
   { "the rate limit refuses and recovers", test_rate_limit_refuses_and_recovers },
   { "the instance list lags and freezes", test_the_instance_list_lags_and_freezes },
 };
--- a/tests/unit/tb_http_test.c
+++ b/tests/unit/tb_http_test.c
@@ -39,7 +39,7 @@
   const Row *row;
   TbTable *platform;
   gboolean ended;
-  gboolean inside; /* the client function has not returned */
+  gboolean in_call; /* the client function has not returned */
   TbStatus status;
   guint64 version;
   guint n_rows;
@@ -130,7 +130,7 @@
 static void
 end_call (Fixture *fixture, TbStatus status)
 {
-  CU_ASSERT_FALSE (fixture->inside);
+  CU_ASSERT_FALSE (fixture->in_call);
   fixture->ended = TRUE;
   fixture->status = status;
   event_base_loopbreak (fixture->base);
@@ -164,14 +164,14 @@
   const TbTransaction transaction = { .writes = &write, .n_writes = 1 };
 
   fixture->ended = FALSE;
-  fixture->inside = TRUE;
+  fixture->in_call = TRUE;
   if (operation == 0)
     tb_transact (fixture->platform, &transaction, on_transacted, fixture);
   else if (operation == 1)
     tb_scan (fixture->platform, "a/", "a/b c", 10, on_rows, fixture);
   else
     tb_instances (fixture->platform, on_instances, fixture);
-  fixture->inside = FALSE;
+  fixture->in_call = FALSE;
   while (!fixture->ended)
     event_base_dispatch (fixture->base);
 }
@@ -216,7 +216,7 @@
 }
 
 static void
-test_a_cancelled_call_says_nothing (void)
+test_cancelled_call_makes_no_callback (void)
 {
   static const Row row = { SERVER_IS_SILENT, "", "", TB_UNKNOWN, TB_UNAVAILABLE };
   g_autoptr (Fixture) fixture = fixture_new (&row);
@@ -232,7 +232,7 @@
 
 static const SuiteCase cases[] = {
   { "statuses by table", test_statuses_by_table },
-  { "a cancelled call makes no callback", test_a_cancelled_call_says_nothing },
+  { "a cancelled call makes no callback", test_cancelled_call_makes_no_callback },
 };
 
 SUITE_MAIN ("tb_http", cases)
