--- a/common/settings.c
+++ b/common/settings.c
@@ -168,7 +168,7 @@
   gboolean given; /* for flags without a value */
 } FlagValue;
 
-/* The option parser is told to leave unknown flags in argv, so that all of them are reported, not
+/* The option parser is set to leave unknown flags in argv, so that all of them are reported, not
  * only the first. */
 static void
 collect_unknown_flags (char **argv, char ***positional, CmFindings *findings)
--- a/coord/config_apply.c
+++ b/coord/config_apply.c
@@ -181,10 +181,10 @@
       return;
     }
   /*
-   * Without an answer the write may have taken effect, or may still do so. Treated
-   * as a failure, the operator would be told that nothing happened, and would apply
-   * again. begin() reads the operation's row back; the checks on that row and on the
-   * revision ensure that the operation takes effect once only.
+   * Without an answer the write may have taken effect, or may still do so. If it
+   * were treated as a failure, the operator would get the reply that nothing changed,
+   * and would apply again. begin() reads the operation's row back; the checks on that row and on
+   * the revision ensure that the operation takes effect once only.
    */
   if (status == TB_UNKNOWN)
     {
--- a/coord/config_store.c
+++ b/coord/config_store.c
@@ -28,8 +28,8 @@
 
   /*
    * An instance that started behind would serve an older configuration than the one
-   * in force elsewhere: a workspace's new rights would come and go with the instance
-   * that it reaches. So an instance isn't ready below the highest known revision.
+   * in force elsewhere: a workspace's new rights would depend on the instance that
+   * its request reaches. So an instance isn't ready below the highest known revision.
    */
   if (!store->ready && store->compared && have >= store->highest)
     {
--- a/coord/credit.c
+++ b/coord/credit.c
@@ -6,13 +6,14 @@
 #include "coord/fair_part.h"
 #include "coord/request_id.h"
 
-/* After a takeover nothing is granted for TTL + TTL / this, as clocks may differ in speed. */
+/* After a takeover nothing is granted for the TTL plus 1/4 of it, as clocks may differ in speed. */
 #define TAKEOVER_MARGIN_DIVISOR 4
 
-/* An entry that has sent no request for this many TTLs no longer takes part in the sharing. */
+/* An entry that has sent no request for this many TTLs is no longer counted in the sharing. */
 #define ENTRY_TIMEOUT_TTLS 2
 
-/* An entry that could not use its turn for a large request goes behind the others. */
+/* The first entry in the queue for large requests goes to the back after this time in the queue,
+   so that an entry whose request can't be served doesn't block the others. */
 #define TURN_LIMIT (30 * KNL_SEC)
 
 KnlTime
@@ -99,7 +100,8 @@
                 < ENTRY_TIMEOUT_TTLS * credit->options.ttl;
 }
 
-/* What counts as granted to the account: it may be using any of its unexpired grants. */
+/* Tokens and slots that count as granted to the account: any of its unexpired grants may be in
+   use. */
 static void
 committed_to (const CoCredit *credit, CoCreditAccount *account, guint64 *tokens, guint *slots)
 {
@@ -262,7 +264,7 @@
 
 /*
  * With an even division of a busy engine, no entry would ever get enough for a large
- * request: each would hold a part that it can't use until its request times out. So
+ * request: each would hold a share that it can't use until its request times out. So
  * entries with a large request queue, and the first in line may accumulate tokens.
  */
 static CoCreditAccount *
--- a/coord/credit_leaks.c
+++ b/coord/credit_leaks.c
@@ -5,7 +5,8 @@
    or has claimed nothing. */
 #define LEAK_DELAY (3 * KNL_SEC)
 
-/* The same for an entry that is only missing: longer than most network partitions last. */
+/* The same for an entry that is missing but not known to be replaced: longer than most network
+   partitions last. */
 #define MISSING_LEAK_DELAY (60 * KNL_SEC)
 
 void
--- a/coord/idem.c
+++ b/coord/idem.c
@@ -89,7 +89,7 @@
 }
 
 /*
- * The caller of a refused begin is told that nothing ran, which is true. But its
+ * The reply to a refused begin says that nothing ran, which is true. But the begin's
  * write may still take effect, and would leave a begun record that is never finished:
  * so the attempt is recorded as not run.
  */
--- a/coord/lease.c
+++ b/coord/lease.c
@@ -19,12 +19,13 @@
 /* Limit on the scans per second of all candidates together; each spaces out its own scans. */
 #define MAX_SCANS_PER_SECOND 50
 
-/* Per rank: a candidate for a shard waits so that those ranked before it try first. */
+/* A candidate waits this long per candidate ranked before it for the shard, so that those try
+   first. */
 #define RANK_DELAY (500 * KNL_MSEC)
 
 /*
  * A shard is handed over to its preferred candidate once the candidates have
- * not changed for the stable time; hand-overs are at least the interval apart.
+ * not changed for STABLE_PERIOD; hand-overs are at least HANDOVER_INTERVAL apart.
  */
 #define STABLE_PERIOD     (5 * KNL_SEC)
 #define HANDOVER_INTERVAL (500 * KNL_MSEC)
--- a/coord/member.c
+++ b/coord/member.c
@@ -32,7 +32,8 @@
     g_ptr_array_add (members->suspects, record);
 }
 
-/** Time for a suspect to refute: an update spreads in a number of periods that grows with log n. */
+/** Time in which a suspect can refute the suspicion. It grows with the logarithm of the number of
+ * controllers, as does the time that an update takes to reach all of them. */
 static KnlTime
 suspicion_time (CoMembers *members)
 {
--- a/coord/prober.c
+++ b/coord/prober.c
@@ -1,6 +1,6 @@
 #include "coord/prober.h"
 
-/** Number of controllers asked to probe a member that does not answer. */
+/** Number of controllers that are requested to probe a member that does not answer. */
 #define INDIRECT_PROBES 3
 
 /** Maximum number of open probes on behalf of other controllers; a new one replaces the oldest. */
--- a/coord/share.c
+++ b/coord/share.c
@@ -17,7 +17,7 @@
 {
   KnlKernel *kernel;
   KnlTime half_life;
-  GHashTable *workspaces; /* name -> GHashTable of "ENTRY~INCARNATION" -> Use */
+  GHashTable *workspaces; /* name -> GHashTable of "ENTRY~INCARNATION" -> Usage */
 };
 
 CoShares *
--- a/coord/suspect.c
+++ b/coord/suspect.c
@@ -107,9 +107,9 @@
 }
 
 /*
- * Evicts an entry when the table is full, so that a flood of crashing requests
- * can't exhaust the memory. The entry with the fewest crashes is evicted, since
- * quarantined ones matter most; of several, the one that expires first.
+ * Evicts a suspect when the list is full, so that a flood of crashing requests
+ * can't exhaust the memory. The suspect with the fewest crashes is evicted, since
+ * quarantined ones are the most important; of several, the one that expires first.
  */
 static void
 evict_if_full (CoSuspects *suspects)
@@ -147,7 +147,7 @@
   return suspect;
 }
 
-/* TRUE if the crash was added; FALSE if it is known or the list is full. */
+/* TRUE if the crash was added; FALSE if it is known or `crashes` is full. */
 static gboolean
 add_crash (Suspect *suspect, const char *crash)
 {
@@ -262,7 +262,7 @@
 
 /*
  * Called at the end of a scan: a row that it did not find was deleted by
- * another controller. Its entry is marked as having no row, so that expire()
+ * another controller. Its suspect is marked as having no row, so that expire()
  * does not try to delete the row again.
  */
 static void
@@ -281,7 +281,7 @@
 }
 
 /*
- * Removes expired entries. One that still has a row is marked so that the row
+ * Removes expired suspects. One that still has a row is marked so that the row
  * is deleted first; the deletion's check fails if another controller has
  * written the row since.
  */
--- a/include/common/settings.h
+++ b/include/common/settings.h
@@ -33,7 +33,7 @@
   const char *argument; /**< placeholder in --help */
 } CmSetting;
 
-/** What the command line asks the program to do. */
+/** Action requested on the command line. */
 typedef enum
 {
   CM_SETTINGS_RUN,
--- a/include/coord/config_compact.h
+++ b/include/coord/config_compact.h
@@ -3,8 +3,8 @@
 /**
  * Bounds the configuration history in the table: the holder of one shard deletes
  * the oldest change rows beyond `keep`, together with the rows of their operations
- * and the tombstones of the objects they removed. A replica further behind than the
- * history reads a snapshot. An operation that is sent again after its row was
+ * and the tombstones of the objects they removed. A replica that is behind the oldest
+ * retained change reads a snapshot. An operation that is sent again after its row was
  * deleted counts as a new one.
  */
 
--- a/include/coord/config_store.h
+++ b/include/coord/config_store.h
@@ -67,9 +67,9 @@
   KnlKernel *kernel;
   TbTable *platform;
   CoConfig *replica;
-  KnlTime poll_interval;            /**< between polls of the revision by a reader of the zone */
-  KnlTime idle_interval;            /**< between polls by other processes that are ready */
-  KnlTime apply_limit;              /**< an apply is abandoned after this time */
+  KnlTime poll_interval; /**< between polls by readers and by processes that aren't ready */
+  KnlTime idle_interval; /**< between polls by all other processes */
+  KnlTime apply_limit;   /**< an apply is abandoned after this time */
   void (*on_ready) (gpointer data); /**< called once, when the replica becomes ready; or NULL */
   gpointer data;
 } CoConfigStoreOptions;
@@ -83,13 +83,13 @@
 void
 co_config_store_apply (CoConfigStore *store, const CoApply *apply, CoApplyFunc done, gpointer data);
 
-/** Sets whether this process is one of the few that poll the revision often. */
+/** Sets whether this process is a reader: one of the few that poll the revision often. */
 void co_config_store_set_reader (CoConfigStore *store, gboolean reader);
 
-/** Reports a revision that exists elsewhere: the replica isn't ready below it. */
+/** Notes a revision that another process has: the replica isn't ready below it. */
 void co_config_store_note_revision (CoConfigStore *store, guint64 revision);
 
-/** Reports that a peer which was itself ready has sent its configuration. */
+/** Notes that a peer which was itself ready has sent its configuration. */
 void co_config_store_synced_by_peer (CoConfigStore *store);
 
 /**
--- a/include/coord/credit.h
+++ b/include/coord/credit.h
@@ -3,9 +3,9 @@
 /**
  * Credits: the ledger of an engine's memory (in tokens) and batch slots, kept by
  * the holder of the engine's shard. It gives entries grants that expire; all
- * unexpired grants together never exceed the engine's capacity. What entries and
- * the engine report as in use counts as granted, so that a lost grant or a dead
- * entry is accounted for until the engine has freed the memory.
+ * unexpired grants together never exceed the engine's capacity. Use that entries
+ * or the engine report counts as granted, so that a lost grant or a dead entry is
+ * accounted for until the engine has freed the memory.
  *
  * Does no I/O: the owner passes reports and requests in, and sends the grants.
  */
@@ -19,12 +19,12 @@
 {
   KnlKernel *kernel;
   KnlTime ttl; /**< of a grant */
-  /** Fraction of an engine that is divided evenly, whatever entries want, so that there is always
+  /** Fraction of an engine that is divided evenly, regardless of demand, so that there is always
       free capacity for short requests. */
   double reserve;
 } CoCreditOptions;
 
-/** What is known about one process of an entry. */
+/** State of one process of an entry, as far as it is known. */
 typedef enum
 {
   CO_ENTRY_PRESENT,  /**< it is running, or nothing is known */
@@ -68,7 +68,7 @@
  */
 GPtrArray *co_credit_leaks (CoCredit *credit, CoEntryStateFunc state_of, gpointer data);
 
-/** Tokens granted in total: for each entry its unexpired grants, or what is in use if more. */
+/** Tokens granted in total: for each entry the larger of its unexpired grants and its use. */
 guint64 co_credit_committed (CoCredit *credit);
 
 guint64 co_credit_capacity (const CoCredit *credit);
--- a/include/coord/credit_private.h
+++ b/include/coord/credit_private.h
@@ -11,7 +11,7 @@
   KnlTime expires;
 } CoCreditGrant;
 
-/* What one process of an entry has been granted at the engine, uses and wants. */
+/* Grants, use and demand of one process of an entry at the engine. */
 typedef struct
 {
   char *name; /* "ENTRY~INCARNATION" */
@@ -24,8 +24,8 @@
   KnlTime queued_since;    /* when it joined the queue for `largest` */
   KnlTime last_seen_at;    /* time of its last request; -1: none */
   KnlTime unclaimed_since; /* when it stopped claiming anything; KNL_NEVER: it claims something */
-  KnlTime gone_since;      /* when its process was first seen gone; KNL_NEVER: it isn't gone */
-  guint64 running_tokens;  /* according to the engine's last report */
+  KnlTime gone_since;     /* since when it is replaced, or missing and silent; KNL_NEVER: neither */
+  guint64 running_tokens; /* according to the engine's last report */
   guint running_slots;
 } CoCreditAccount;
 
--- a/include/coord/gossip.h
+++ b/include/coord/gossip.h
@@ -20,8 +20,8 @@
 typedef void (*CoGossipFunc) (Alderturn__MemberKind kind, const char *name, gpointer data);
 
 /**
- * Calls `func` for up to `count` members and counts one send for each. A member
- * that has been sent `limit` times is removed.
+ * Calls `func` for the next members to send, up to `count`, and counts one send
+ * for each. A member that has been sent `limit` times is removed.
  */
 void co_gossip_take (CoGossip *gossip, guint count, guint limit, CoGossipFunc func, gpointer data);
 
--- a/include/coord/idem.h
+++ b/include/coord/idem.h
@@ -15,7 +15,8 @@
 
 typedef struct CoIdem CoIdem;
 
-/** TRUE when the process that made this attempt id has certainly ended. A wrong result is safe. */
+/** TRUE when the process that made this attempt id has certainly ended. A wrong result can't
+ * make a request run twice. */
 typedef gboolean (*CoAttemptGoneFunc) (const char *attempt, gpointer data);
 
 typedef struct
@@ -25,8 +26,8 @@
   CoLeases *leases;
   KnlTime batch_delay;   /**< time that a write waits for others, to share a transaction */
   KnlTime begin_limit;   /**< a begin without a durable record after this time is refused */
-  KnlTime finish_limit;  /**< a finish that isn't durable after this time is answered as such */
-  KnlTime attempt_limit; /**< a record that is begun for this time becomes unknown */
+  KnlTime finish_limit;  /**< a finish that isn't durable after this time is reported as such */
+  KnlTime attempt_limit; /**< a record that stays begun for this time becomes unknown */
   gsize answer_bytes;    /**< longer answers aren't stored */
   guint cache_limit;     /**< records in memory; beyond it, idle ones are evicted */
   CoAttemptGoneFunc attempt_gone;
--- a/include/coord/idem_sweep.h
+++ b/include/coord/idem_sweep.h
@@ -5,7 +5,7 @@
  * which the holder of one shard raises after it has itself seen the same epoch for
  * `epoch_time`. Records carry the epoch of their last write; those older than the
  * retention are deleted in small batches, conditional on each row's version. While
- * there is no holder epochs become longer, never shorter.
+ * there is no holder, an epoch lasts longer, so that records are never deleted too early.
  *
  * Row: "idem-epoch".
  */
--- a/include/coord/shard.h
+++ b/include/coord/shard.h
@@ -16,8 +16,8 @@
 
 /**
  * Weight of candidate `name` for `key`, by rendezvous hashing. The candidate
- * with the highest weight should hold it; if a candidate fails, only what it
- * held moves.
+ * with the highest weight should hold it; if a candidate fails, only the
+ * keys that it held move.
  */
 guint64 co_rendezvous_weight (const char *name, const char *key);
 
--- a/include/coord/suspect.h
+++ b/include/coord/suspect.h
@@ -6,7 +6,7 @@
  * endpoint, quarantines it on every entry. Each controller keeps the list in
  * memory and shares it with the others by crash reports. It is also written to
  * the table while that is available, so that it survives a restart of all
- * controllers. Entries of the list expire, and their number is bounded.
+ * controllers. Suspects expire, and their number is bounded.
  *
  * Rows: "suspect/HEX16".
  */
@@ -15,16 +15,16 @@
 
 typedef struct CoSuspects CoSuspects;
 
-/** Called with entries whose crash count has risen; `update` is valid during the call. */
+/** Called with suspects whose crash count has risen; `update` is valid during the call. */
 typedef void (*CoSuspectFunc) (const Alderturn__SuspectUpdate *update, gpointer data);
 
 typedef struct
 {
   KnlKernel *kernel;
   TbTable *platform;
-  KnlTime ttl;           /**< lifetime of an entry, counted from the last crash learned */
+  KnlTime ttl;           /**< lifetime of a suspect; restarts when another crash becomes known */
   KnlTime scan_interval; /**< between two scans of the rows */
-  guint limit; /**< maximum number of entries; those with the fewest crashes are evicted */
+  guint limit; /**< maximum number of suspects; those with the fewest crashes are evicted */
   CoSuspectFunc changed;
   gpointer data;
 } CoSuspectOptions;
@@ -40,10 +40,10 @@
 gboolean
 co_suspects_handle_crash (CoSuspects *suspects, const Alderturn__CrashReport *report, gboolean own);
 
-/** Applies the entries received from another controller. */
+/** Applies the suspects received from another controller. */
 void co_suspects_handle_update (CoSuspects *suspects, const Alderturn__SuspectUpdate *update);
 
-/** Returns all entries; free with alderturn__suspect_update__free_unpacked(). */
+/** Returns all suspects; free with alderturn__suspect_update__free_unpacked(). */
 Alderturn__SuspectUpdate *co_suspects_all (CoSuspects *suspects);
 
 guint co_suspects_count (const CoSuspects *suspects);
--- a/include/wire/session.h
+++ b/include/wire/session.h
@@ -34,7 +34,7 @@
   /** Number of bytes written but not yet sent. */
   gsize (*unsent) (WrChannel *channel);
   /** Closes and frees the channel once all written bytes are sent. The channel must not use the
-   * session any more. */
+   * session afterwards. */
   void (*close) (WrChannel *channel);
 } WrChannelClass;
 
--- a/tests/unit/co_config_store_test.c
+++ b/tests/unit/co_config_store_test.c
@@ -456,14 +456,15 @@
 }
 
 static const SuiteCase cases[] = {
-  { "of racing operators one wins and the other learns of it",
+  { "racing applies are ordered, and a stale one gets a conflict",
     test_of_racing_operators_one_wins_and_the_other_learns_of_it },
   { "a lost answer is resolved and an operation counts once",
     test_a_lost_answer_is_resolved_and_an_operation_counts_once },
-  { "an apply that can't reach the table says what it knows",
+  { "an apply that can't reach the table ends as not run or unknown",
     test_an_apply_that_can_not_reach_the_table_says_what_it_knows },
-  { "a write on its way is not told as not run", test_a_write_on_its_way_is_not_told_as_not_run },
-  { "a node is ready only at the highest revision it heard of",
+  { "a write in transit is not reported as not run",
+    test_a_write_on_its_way_is_not_told_as_not_run },
+  { "an instance is ready only at the highest known revision",
     test_a_node_is_ready_only_at_the_highest_revision_it_heard_of },
   { "random operators and faults", test_random_operators_and_faults },
   { "findings by table", test_findings_by_table },
--- a/tests/unit/co_config_test.c
+++ b/tests/unit/co_config_test.c
@@ -1,4 +1,4 @@
-/** The configuration replica: its revision only rises, in whatever order pushes arrive. */
+/** The configuration replica: its revision only rises, regardless of the order of pushes. */
 
 #include "coord/config.h"
 #include "suite.h"
--- a/tests/unit/co_credit_test.c
+++ b/tests/unit/co_credit_test.c
@@ -118,7 +118,7 @@
       g_autoptr (Fixture) fixture = fixture_new (rows[r].reserve);
 
       knl_paused_clock_advance (fixture->clock, 2 * TTL);
-      /* Shares settle after all entries have asked and older, larger grants have expired. */
+      /* Shares settle once all entries have sent requests and older, larger grants have expired. */
       for (guint round = 0; round < 12; round++)
         {
           for (guint i = 0; i < ENTRIES; i++)
@@ -193,8 +193,8 @@
 
 /*
  * Guards against an engine that runs out of memory although every entry keeps to its grant,
- * because the ledger forgot an unexpired grant, its own or that of the holder before it.
- * Entries' wants change, answers are delayed or lost, and now and then another holder takes
+ * because the ledger doesn't count an unexpired grant, its own or one of the former holder.
+ * Entries' demands change, answers are delayed or lost, and occasionally another holder takes
  * over with an empty ledger.
  */
 static void
@@ -231,8 +231,8 @@
 
 /*
  * Guards against granting an engine's memory twice after an entry has died. The entry
- * falls silent with requests running and its grants expire; a ledger that counts only
- * grants would miss the requests that the engine still lists.
+ * stops sending credit requests while its callers' requests still run, and its grants expire; a
+ * ledger that counts only grants would miss the requests that the engine still lists.
  */
 static void
 test_a_dead_entrys_memory_counts_until_it_is_given_back (void)
@@ -304,7 +304,7 @@
 /*
  * Guards against prompts nearly as large as an engine's memory timing out on a busy fleet,
  * although the engine could run them one after another. Several entries each wait with such
- * a prompt; with an even division no entry gets enough, and none returns its part.
+ * a prompt; with an even division no entry gets enough, and none returns its share.
  */
 static void
 test_large_requests_have_turns (void)
@@ -340,11 +340,11 @@
 }
 
 static const SuiteCase cases[] = {
-  { "large requests have turns", test_large_requests_have_turns },
-  { "parts by table", test_parts_by_table },
+  { "large requests are granted in queue order", test_large_requests_have_turns },
+  { "shares by table", test_parts_by_table },
   { "entries together never hold more than the engine has",
     test_entries_together_never_hold_more_than_the_engine_has },
-  { "a dead entry's memory counts until it is given back",
+  { "a dead entry's memory counts until it is freed",
     test_a_dead_entrys_memory_counts_until_it_is_given_back },
   { "leaks by table", test_leaks_by_table },
 };
--- a/tests/unit/co_idem_test.c
+++ b/tests/unit/co_idem_test.c
@@ -321,7 +321,7 @@
   char name[4];
   char attempt[16];
   Result result;
-  gboolean runs;    /* `attempt` was told to run and has not been recorded as not run */
+  gboolean runs;    /* `attempt` got the verdict RUN and isn't recorded as not run */
   gboolean ended;   /* recorded as done */
   gboolean pending; /* the last begin or finish has no result yet */
   Alderturn__IdemState finishing;
--- a/tests/unit/co_lease_test.c
+++ b/tests/unit/co_lease_test.c
@@ -335,7 +335,7 @@
   { "shards go to their first candidates", test_shards_go_to_their_first_candidates },
   { "a paused holder does not hold a lease", test_a_paused_holder_does_not_hold_a_lease },
   { "lost answers are read back", test_lost_answers_are_read_back },
-  { "released shards are taken at once", test_released_shards_are_acquired_immediately },
+  { "released shards are acquired immediately", test_released_shards_are_acquired_immediately },
   { "an outage ends all leases and they return", test_an_outage_ends_all_leases_and_they_return },
   { "a restarted process waits for its predecessor's lease",
     test_a_restarted_process_waits_for_its_predecessors_lease },
--- a/tests/unit/overlay_test.c
+++ b/tests/unit/overlay_test.c
@@ -43,7 +43,7 @@
 
 /*
  * Hops until an update of `from` has reached all controllers except those in
- * `lost`; G_MAXUINT: it never does.
+ * `lost`; G_MAXUINT: it doesn't reach all.
  */
 static guint
 hops_to_all (const Overlay *overlay, guint from, const gboolean *lost)
