--- a/coord/config_apply.c
+++ b/coord/config_apply.c
@@ -374,7 +374,7 @@
   apply->data = data;
   apply->backoff = (CmBackoff){ .first = RETRY_MIN_DELAY, .limit = RETRY_MAX_DELAY };
   cm_findings_init (&apply->findings);
-  apply->deadline = knl_timer_start (host->kernel, host->limit, on_deadline, apply);
+  apply->deadline = knl_timer_start (host->kernel, host->timeout, on_deadline, apply);
   begin (apply);
   return apply;
 }
--- a/coord/config_store.c
+++ b/coord/config_store.c
@@ -123,7 +123,7 @@
     .kernel = options->kernel,
     .platform = options->platform,
     .replica = options->replica,
-    .limit = options->apply_limit,
+    .timeout = options->apply_limit,
     .request_pull = on_pull_requested,
     .ended = on_apply_ended,
     .store = store,
--- a/coord/idem.c
+++ b/coord/idem.c
@@ -401,7 +401,7 @@
   op->args.attempt = g_strdup (begin->attempt);
   op->args.digest = begin->digest;
   op->call = begin->call;
-  op->deadline = knl_kernel_now (idem->options.kernel) + idem->options.begin_limit;
+  op->deadline = knl_kernel_now (idem->options.kernel) + idem->options.begin_timeout;
   op->on_begun = done;
   op->data = data;
   push_op (key, op);
@@ -431,7 +431,7 @@
   op->args.content_type = keep ? g_strdup (finish->content_type) : NULL;
   op->args.body = keep ? g_bytes_new (finish->body.data, finish->body.len) : NULL;
   op->call = finish->call;
-  op->deadline = knl_kernel_now (idem->options.kernel) + idem->options.finish_limit;
+  op->deadline = knl_kernel_now (idem->options.kernel) + idem->options.finish_timeout;
   op->on_finished = done;
   op->data = data;
   push_op (key, op);
--- a/coord/suspect.c
+++ b/coord/suspect.c
@@ -118,7 +118,7 @@
   gpointer value;
   const Suspect *victim = NULL;
 
-  if (g_hash_table_size (suspects->by_fingerprint) < suspects->options.limit)
+  if (g_hash_table_size (suspects->by_fingerprint) < suspects->options.max_suspects)
     return;
   g_hash_table_iter_init (&iter, suspects->by_fingerprint);
   while (g_hash_table_iter_next (&iter, NULL, &value))
--- a/include/coord/config_apply.h
+++ b/include/coord/config_apply.h
@@ -12,7 +12,7 @@
   KnlKernel *kernel;
   TbTable *platform;
   CoConfig *replica;
-  KnlTime limit;
+  KnlTime timeout;
   /** Called when the table is ahead of the replica; co_config_apply_resume() must follow a pull. */
   void (*request_pull) (gpointer store, guint64 revision);
   /** Called when the apply has ended; it is freed after the call. */
--- a/include/coord/idem.h
+++ b/include/coord/idem.h
@@ -24,12 +24,12 @@
   KnlKernel *kernel;
   TbTable *platform;
   CoLeases *leases;
-  KnlTime batch_delay;   /**< time that a write waits for others, to share a transaction */
-  KnlTime begin_limit;   /**< a begin without a durable record after this time is refused */
-  KnlTime finish_limit;  /**< a finish that isn't durable after this time is reported as such */
-  KnlTime attempt_limit; /**< a record that stays begun for this time becomes unknown */
-  gsize answer_bytes;    /**< longer answers aren't stored */
-  guint cache_limit;     /**< records in memory; beyond it, idle ones are evicted */
+  KnlTime batch_delay;    /**< time that a write waits for others, to share a transaction */
+  KnlTime begin_timeout;  /**< a begin without a durable record after this time is refused */
+  KnlTime finish_timeout; /**< a finish that isn't durable after this time is reported as such */
+  KnlTime attempt_limit;  /**< a record that stays begun for this time becomes unknown */
+  gsize answer_bytes;     /**< longer answers aren't stored */
+  guint cache_limit;      /**< records in memory; beyond it, idle ones are evicted */
   CoAttemptGoneFunc attempt_gone;
   gpointer data;
 } CoIdemOptions;
--- a/include/coord/suspect.h
+++ b/include/coord/suspect.h
@@ -24,7 +24,7 @@
   TbTable *platform;
   KnlTime ttl;           /**< lifetime of a suspect; restarts when another crash becomes known */
   KnlTime scan_interval; /**< between two scans of the rows */
-  guint limit; /**< maximum number of suspects; those with the fewest crashes are evicted */
+  guint max_suspects; /**< maximum number of suspects; those with the fewest crashes are evicted */
   CoSuspectFunc changed;
   gpointer data;
 } CoSuspectOptions;
--- a/tests/unit/co_housekeeping_test.c
+++ b/tests/unit/co_housekeeping_test.c
@@ -39,8 +39,8 @@
                                  .apply_limit = 5 * KNL_SEC };
   CoConfigCompactOptions compact = { .keep = KEEP, .interval = 10 * KNL_SEC };
   CoIdemOptions idem = { .batch_delay = KNL_MSEC,
-                         .begin_limit = KNL_SEC,
-                         .finish_limit = KNL_SEC,
+                         .begin_timeout = KNL_SEC,
+                         .finish_timeout = KNL_SEC,
                          .attempt_limit = KNL_NEVER,
                          .cache_limit = 1,
                          .attempt_gone = never_gone };
--- a/tests/unit/co_suspect_test.c
+++ b/tests/unit/co_suspect_test.c
@@ -29,7 +29,7 @@
     .platform = fixture->daemons.platforms[i],
     .ttl = TTL,
     .scan_interval = 10 * KNL_SEC,
-    .limit = 8,
+    .max_suspects = 8,
     .changed = on_changed,
     .data = &fixture->notified[i],
   };
