--- a/tests/unit/co_idem_test.c
+++ b/tests/unit/co_idem_test.c
@@ -315,7 +315,7 @@
   CU_ASSERT_TRUE (co_idem_cached (fixture->idems[0]) + co_idem_cached (fixture->idems[1]) <= 8);
 }
 
-/* A key, as seen by its callers. */
+/* The state of a key as its callers know it. */
 typedef struct
 {
   char name[4];
