--- a/coord/config_apply.c
+++ b/coord/config_apply.c
@@ -181,10 +181,10 @@
       return;
     }
   /*
-   * Without an answer the write may have taken effect, or may still do so. Treated
-   * as a failure, the operator would be told that nothing happened, and would apply
-   * again. begin() reads the operation's row back; the checks on that row and on the
-   * revision ensure that the operation takes effect once only.
+   * Without an answer the write may have taken effect, or may still do so. If it
+   * were treated as a failure, the operator would get the reply that nothing changed,
+   * and would apply again. begin() reads the operation's row back; the checks on that row and on
+   * the revision ensure that the operation takes effect once only.
    */
   if (status == TB_UNKNOWN)
     {
@@ -374,7 +374,7 @@
   apply->data = data;
   apply->backoff = (CmBackoff){ .first = RETRY_MIN_DELAY, .limit = RETRY_MAX_DELAY };
   cm_findings_init (&apply->findings);
-  apply->deadline = knl_timer_start (host->kernel, host->limit, on_deadline, apply);
+  apply->deadline = knl_timer_start (host->kernel, host->timeout, on_deadline, apply);
   begin (apply);
   return apply;
 }
--- a/coord/config_store.c
+++ b/coord/config_store.c
@@ -28,8 +28,8 @@
 
   /*
    * An instance that started behind would serve an older configuration than the one
-   * in force elsewhere: a workspace's new rights would come and go with the instance
-   * that it reaches. So an instance isn't ready below the highest known revision.
+   * in force elsewhere: a workspace's new rights would depend on the instance that
+   * its request reaches. So an instance isn't ready below the highest known revision.
    */
   if (!store->ready && store->compared && have >= store->highest)
     {
@@ -123,7 +123,7 @@
     .kernel = options->kernel,
     .platform = options->platform,
     .replica = options->replica,
-    .limit = options->apply_limit,
+    .timeout = options->apply_limit,
     .request_pull = on_pull_requested,
     .ended = on_apply_ended,
     .store = store,
--- a/tests/unit/co_idem_test.c
+++ b/tests/unit/co_idem_test.c
@@ -56,8 +56,8 @@
         .kernel = fixture->daemons.kernels[i],
         .platform = fixture->daemons.platforms[i],
         .batch_delay = 3 * KNL_MSEC,
-        .begin_limit = 2 * KNL_SEC,
-        .finish_limit = 2 * KNL_SEC,
+        .begin_timeout = 2 * KNL_SEC,
+        .finish_timeout = 2 * KNL_SEC,
         .attempt_limit = 600 * KNL_SEC,
         .answer_bytes = 8,
         .cache_limit = 4,
@@ -315,13 +315,13 @@
   CU_ASSERT_TRUE (co_idem_cached (fixture->idems[0]) + co_idem_cached (fixture->idems[1]) <= 8);
 }
 
-/* A key, as seen by its callers. */
+/* The state of a key as its callers know it. */
 typedef struct
 {
   char name[4];
   char attempt[16];
   Result result;
-  gboolean runs;    /* `attempt` was told to run and has not been recorded as not run */
+  gboolean runs;    /* `attempt` got the verdict RUN and isn't recorded as not run */
   gboolean ended;   /* recorded as done */
   gboolean pending; /* the last begin or finish has no result yet */
   Alderturn__IdemState finishing;
