--- a/controller/engines.c
+++ b/controller/engines.c
@@ -154,7 +154,7 @@
   CtEngines *engines = engine->engines;
 
   engine->report = 0;
-  /* A lease found to have lapsed frees the engine. */
+  /* If the check finds that the lease has lapsed, on_lease() frees the engine. */
   if (!co_lease_valid (engines->options.leases, engine->shard, NULL) || report == NULL)
     return;
   engines->counts.reports++;
@@ -235,7 +235,7 @@
 {
   const GPtrArray *view = ct_members_view (engines->options.members);
 
-  /* Leases that have lapsed unnoticed are found now, not while we walk over the engines. */
+  /* Detects lapsed leases now: on_lease() would otherwise remove engines during the iteration. */
   co_leases_held (engines->options.leases);
   g_hash_table_destroy (engines->placement);
   engines->placement = ct_placement_new (engines->options.config, view);
--- a/controller/order.c
+++ b/controller/order.c
@@ -3,7 +3,7 @@
 #include "common/log.h"
 #include "common/retry.h"
 
-/* An order on its way may arrive so late: the limit of a call to an engine, and some. */
+/* Longest time that an order may be in flight: the timeout of a call to an engine and a margin. */
 #define MAX_ORDER_DELAY (5 * KNL_SEC)
 
 /* Time between an order and its repetition, for the engine to load weights and report them; grows
--- a/ctl/commands/apply.c
+++ b/ctl/commands/apply.c
@@ -55,7 +55,7 @@
   ClResult *result;
 
   if (count == 0)
-    return cl_result_new (CL_DONE, "the file asks for no changes");
+    return cl_result_new (CL_DONE, "the file contains no changes");
   result = cl_session_apply (session, apply->changes, apply->dry_run);
   if (result->status == CL_DONE && apply->dry_run)
     {
@@ -123,7 +123,7 @@
   .name = "apply",
   .usage = "apply FILE [dry run]",
   .help = "Makes all changes of a file (- for standard input) in one transaction, or none.\n"
-          "Blocks KIND NAME { FIELD = VALUE ... } give all of an object; remove KIND NAME.\n",
+          "KIND NAME { FIELD = VALUE ... } replaces an object; remove KIND NAME removes it.\n",
   .parse = apply_parse,
   .run = apply_run,
   .review = apply_review,
--- a/ctl/commands/drain.c
+++ b/ctl/commands/drain.c
@@ -54,7 +54,7 @@
 const ClCommandClass cl_command_drain = {
   .name = "drain",
   .usage = "drain INSTANCE",
-  .help = "Asks that an instance gets no new work and finishes what it has.\n",
+  .help = "Drains an instance: it gets no new work and finishes the work that it has.\n",
   .parse = drain_parse,
   .run = cl_drain_run,
   .destroy = cl_drain_destroy,
--- a/ctl/commands/help.c
+++ b/ctl/commands/help.c
@@ -122,7 +122,7 @@
 const ClCommandClass cl_command_help = {
   .name = "help",
   .usage = "help [COMMAND or KIND]",
-  .help = "Shows how commands are written, one of them, or the fields of one kind of object.\n",
+  .help = "Shows the syntax of all commands, one command's help, or the fields of a kind.\n",
   .parse = help_parse,
   .run = help_run,
   .destroy = help_destroy,
--- a/ctl/commands/set.c
+++ b/ctl/commands/set.c
@@ -47,8 +47,8 @@
 const ClCommandClass cl_command_set = {
   .name = "set",
   .usage = "set KIND NAME FIELD = VALUE [, FIELD = VALUE ...] [if revision N]",
-  .help = "Sets fields of an object, which is made when it is new; other fields stay.\n"
-          "With a revision it is refused when the object has another one by now.\n",
+  .help = "Sets fields of an object and creates it if it doesn't exist; other fields stay.\n"
+          "With a revision, the change is refused if the object's revision differs.\n",
   .parse = set_parse,
   .run = set_run,
   .destroy = set_destroy,
--- a/ctl/commands/undrain.c
+++ b/ctl/commands/undrain.c
@@ -9,7 +9,7 @@
 const ClCommandClass cl_command_undrain = {
   .name = "undrain",
   .usage = "undrain INSTANCE",
-  .help = "Takes a drain back: the instance gets new work again.\n",
+  .help = "Ends the drain of an instance: it gets new work again.\n",
   .parse = undrain_parse,
   .run = cl_drain_run,
   .destroy = cl_drain_destroy,
--- a/entry/cancels.c
+++ b/entry/cancels.c
@@ -7,7 +7,7 @@
 #define MAX_RETRY_DELAY     (5 * KNL_SEC)
 #define SECOND_CANCEL_DELAY (2 * KNL_SEC)
 
-/* Much longer than engines hold a request by themselves: an engine silent for so long is gone. */
+/* Much longer than engines hold a request by themselves: an engine silent for that long is lost. */
 #define CANCEL_TIMEOUT (600 * KNL_SEC)
 
 /*
--- a/entry/core_internal.h
+++ b/entry/core_internal.h
@@ -92,7 +92,7 @@
 /** Releases the engines that were kept free for the request. */
 void en_core_release_holds (EnCore *core, const EnRequest *request);
 
-/** Takes the request out of the queue and marks it as dispatched. */
+/** Removes the request from the queue and marks it as dispatched. */
 void en_core_dequeue (EnCore *core, EnRequest *request);
 
 /** Starts an attempt. Takes ownership of `charge`; `imports` may be NULL. */
--- a/entry/crash.c
+++ b/entry/crash.c
@@ -41,7 +41,7 @@
 /*
  * A request that crashes engines would be retried on one engine after the other
  * until none is left. All requests that ran on the crashed engine become suspects
- * and run alone next, which tells the cause from those that ran next to it.
+ * and run alone next, which identifies the request that causes the crashes.
  */
 void
 en_core_report_crash (EnCore *core, EnEndpoint *endpoint, guint epoch, guint64 incarnation)
--- a/entry/credits.c
+++ b/entry/credits.c
@@ -163,8 +163,8 @@
 /*
  * An engine on which this entry has no charges and for which nothing waits is
  * requested only every IDLE_REQUEST_INTERVAL, which keeps the grant from lapsing. Most
- * engines are idle in this sense, and including them in each request would be
- * most of what an entry sends.
+ * engines are idle in this sense, and including them in each request would make up
+ * most of an entry's traffic to controllers.
  */
 static gboolean
 is_idle (const EnEndpoint *endpoint, const Alderturn__CreditWant *want, KnlTime now)
--- a/entry/drain.c
+++ b/entry/drain.c
@@ -1,16 +1,16 @@
 /**
- * Graceful shutdown. Callers cache the list of entries for a while, so an entry
- * first leaves the list and keeps serving until cached lists have expired. Only
- * then it refuses new requests, finishes the running ones, and ends.
+ * Graceful shutdown. Callers cache the list of entries for a limited time, so an
+ * entry first leaves the list and keeps serving until cached lists have expired.
+ * Only then does it refuse new requests, finish the running ones, and end.
  */
 
 #include "common/log.h"
 #include "entry/core_internal.h"
 
-/* Added to the cache time for callers' clocks and the delay until other entries see the change. */
+/* Added to the cache time: clocks differ, and other entries see the change with a delay. */
 #define KEEP_MARGIN (2 * KNL_SEC)
 
-/* Shortest time for which it refuses requests and sends the new list, even if nothing runs. */
+/* Minimum time for which requests are refused, with the new list of entries, if nothing runs. */
 #define MIN_REFUSE_TIME (500 * KNL_MSEC)
 
 /*
--- a/entry/engine.c
+++ b/entry/engine.c
@@ -12,8 +12,8 @@
 };
 
 /*
- * Deducted for a workspace that floods the fleet, whose shortest class then ranks
- * below all classes of other workspaces except the longest.
+ * Deducted from the priorities of a workspace that floods the fleet. Its shortest
+ * class then ranks below all classes of other workspaces except the longest.
  */
 #define FLOOD_PENALTY 25
 
--- a/entry/finish.c
+++ b/entry/finish.c
@@ -16,7 +16,7 @@
     g_hash_table_remove (core->in_flight, request->workspace);
 }
 
-/* The event before the end: for a request that got no engine, it tells what was awaited. */
+/* The event before the end. For a request that got no engine, it shows what it waited for. */
 static const char *
 last_event (const EnRequest *request)
 {
--- a/entry/front.c
+++ b/entry/front.c
@@ -11,7 +11,7 @@
 #define MAX_KEY_BYTES  256
 #define MAX_TIMEOUT_MS 86400000
 
-/* The longest prompts are some MB, over links that may be slow; headers are short. */
+/* The longest prompts are several MB, over links that may be slow; headers are short. */
 #define HEAD_TIMEOUT    (10 * KNL_SEC)
 #define REQUEST_TIMEOUT (60 * KNL_SEC)
 #define IDLE_TIMEOUT    (60 * KNL_SEC)
--- a/entry/record.c
+++ b/entry/record.c
@@ -12,7 +12,7 @@
 #define BEGIN_TIMEOUT  (3 * KNL_SEC)
 #define FINISH_TIMEOUT (2 * KNL_SEC)
 
-/* Longer answers aren't stored; a repeated request is told only that the first one ran. */
+/* Longer answers aren't stored; a repeated request only gets the outcome of the first one. */
 #define MAX_STORED_ANSWER ((gsize)64 * 1024)
 
 #define RETRY_AFTER (1 * KNL_SEC)
@@ -215,9 +215,9 @@
 }
 
 /*
- * The caller is told "done" only after that is recorded. Otherwise, if the entry
- * died in between, a repeated request with the key would get "unknown" although
- * the answer had already been delivered.
+ * The caller gets the answer only after the outcome "done" is recorded. Otherwise,
+ * if the entry died in between, a repeated request with the key would get "unknown"
+ * although the answer had already been delivered.
  */
 void
 en_core_complete (EnCore *core, EnRequest *request, const EnAnswer *answer)
--- a/entry/records.c
+++ b/entry/records.c
@@ -7,7 +7,7 @@
 #define MIN_RETRY_DELAY (200 * KNL_MSEC)
 #define MAX_RETRY_DELAY (2 * KNL_SEC)
 
-/* If no holder accepts the outcome by then, the record stays begun and reads "unknown" later. */
+/* If no holder accepts the outcome by then, the record stays begun and later becomes "unknown". */
 #define FINISH_TIMEOUT (60 * KNL_SEC)
 
 struct EnRecords
@@ -120,7 +120,7 @@
   g_hash_table_remove (self->calls, &call->id);
 }
 
-/* The request stops waiting here; the outcome is still sent until it is durable. */
+/* The request no longer waits for the confirmation; the outcome is sent until it is durable. */
 static void
 on_finish_limit (gpointer data)
 {
@@ -222,7 +222,7 @@
   call_free (call);
 }
 
-/* For a verdict after the limit there is no call: the attempt has been recorded as not run. */
+/* For a verdict after the timeout there is no call: the attempt was recorded as not run. */
 void
 en_records_handle_begun (EnRecords *self, const Alderturn__IdemReply *reply)
 {
--- a/entry/reserve.c
+++ b/entry/reserve.c
@@ -9,8 +9,8 @@
 
 /*
  * Two entries that request most of one engine are each granted half of it as long
- * as both request it. The time that an entry tries, and its pause afterwards, are
- * random, so that one of them remains and is granted everything.
+ * as both request it. The time for which an entry tries, and the delay before it
+ * tries again, are random, so that one of them remains and is granted everything.
  */
 #define ACQUIRE_TIMEOUT_MIN (3 * KNL_SEC)
 #define ACQUIRE_TIMEOUT_MAX (15 * KNL_SEC)
--- a/entry/router.c
+++ b/entry/router.c
@@ -17,8 +17,8 @@
 #define MAX_ENGINE_QUEUE_TIME (200 * KNL_MSEC)
 
 /*
- * Long tokens of ours that may be in prefill on one engine at once, as a
- * multiple of the largest: more would only queue up in front of short prompts.
+ * Tokens of this entry's long prompts that may be in prefill on one engine at once,
+ * as a multiple of the largest: more would only queue up in front of short prompts.
  */
 #define MAX_PENDING_LONG_TOKENS 400000
 
--- a/entry/shares.c
+++ b/entry/shares.c
@@ -5,7 +5,10 @@
 #define HALF_LIFE  (10 * KNL_SEC)
 #define UPDATE_TTL (3 * KNL_SEC)
 
-/* A flood is more than this multiple of the third largest user's requests; up to two may flood. */
+/*
+ * A workspace floods if it sends more than this multiple of the requests of the third most active
+ * workspace, so that up to two workspaces can flood at the same time.
+ */
 #define FLOOD_FACTOR 2.5
 #define FLOOD_RANK   2
 
--- a/entry/subset.c
+++ b/entry/subset.c
@@ -2,7 +2,7 @@
 
 #include "coord/subset.h"
 
-/* Minimum of engines that an entry uses per service and role, however many services there are. */
+/* With many services, an entry still uses at least this many engines of each service and role. */
 #define MIN_GROUP_SIZE 6
 
 static gboolean
--- a/entry/uplink.c
+++ b/entry/uplink.c
@@ -7,7 +7,9 @@
 
 #define MIN_RETRY_DELAY (50 * KNL_MSEC)
 #define MAX_RETRY_DELAY (1 * KNL_SEC)
-#define LOCAL_INTERVAL  (2 * KNL_SEC)
+
+/* Interval of attempts to return to the local controller while another one is in use. */
+#define LOCAL_INTERVAL (2 * KNL_SEC)
 
 typedef struct
 {
--- a/include/controller/links.h
+++ b/include/controller/links.h
@@ -55,7 +55,7 @@
  */
 void ct_links_connect (CtLinks *links, const char *name, const char *address);
 
-/** Opens links to these controllers and keeps them open; replaces the list of the call before. */
+/** Opens links to these controllers and keeps them open; replaces the list of the previous call. */
 void
 ct_links_keep (CtLinks *links, const char *const *names, const char *const *addresses, guint n);
 
--- a/include/entry/cancels.h
+++ b/include/entry/cancels.h
@@ -4,9 +4,9 @@
  * Cancellations at engines, repeated until acknowledged.
  *
  * When a caller disconnects, a deadline passes or a connection breaks, the request
- * stays on its engine and keeps its memory until the engine is told to cancel it.
- * If that message were lost, the memory would stay in use, and the engine would
- * report used tokens without requests. Until the engine has acknowledged the
+ * stays on its engine and keeps its memory until the engine receives a cancellation.
+ * If that were lost, the memory would stay in use, and the engine would report used
+ * tokens without requests. Until the engine has acknowledged the
  * cancellation or has restarted, the entry counts the memory as used.
  */
 
--- a/include/entry/core.h
+++ b/include/entry/core.h
@@ -26,7 +26,7 @@
   const char *router;     /**< strategy of en_router_new(); NULL: "credits" */
   guint64 max_in_flight;  /**< limit on all requests at this entry */
   guint64 max_queued;     /**< limit on requests that wait for an engine */
-  guint64 max_new_tokens; /**< largest max_tokens that a caller may ask for */
+  guint64 max_new_tokens; /**< largest max_tokens that a caller may request */
   KnlTime max_limit;      /**< longer time limits of callers are reduced to it */
   KnlTime entries_ttl;    /**< how long callers may cache the answer to GET /v1/entries */
 } EnCoreSettings;
--- a/include/entry/fleet.h
+++ b/include/entry/fleet.h
@@ -76,7 +76,7 @@
   PolHealth health;        /**< from this entry's own requests */
   gboolean needs_answer;   /**< an attempt there was lost and it has not answered since */
   guint64 held_for;        /**< number of the request that it is kept free for; 0: none */
-  gboolean exclusive;      /**< runs a suspect request and takes no other one */
+  gboolean exclusive;      /**< runs a suspect request and gets no other one */
   GHashTable *prefixes;    /**< set of hashes of prefix blocks expected in its cache */
   guint64 cache_sequence;
 } EnEndpoint;
--- a/include/entry/records.h
+++ b/include/entry/records.h
@@ -24,10 +24,10 @@
   const char *attempt; /**< id of the attempt that the record belongs to */
 } EnRecordVerdict;
 
-/** Without an answer within the limit, the verdict is REFUSED: the attempt must not run. */
+/** Without an answer within the time limit, the verdict is REFUSED: the attempt must not run. */
 typedef void (*EnRecordBegunFunc) (const EnRecordVerdict *verdict, gpointer data);
 
-/** `durable` FALSE: not confirmed within the limit; sending is still retried for a while. */
+/** `durable` FALSE: not confirmed within the time limit; sending is retried for up to 60 s. */
 typedef void (*EnRecordFinishedFunc) (gboolean durable, gpointer data);
 
 /** How an attempt ended. Strings are copied. */
--- a/tests/unit/ct_controller_test.c
+++ b/tests/unit/ct_controller_test.c
@@ -137,7 +137,7 @@
  * Symptom: a leaving engine is sent new work until it refuses it.
  * Sequence: the engine's report says that it is leaving, or the platform's instance list does,
  * or an operator declares it to be draining.
- * Cause: a single controller receives this and doesn't pass it on to the others and their entries.
+ * Cause: a single controller receives this and doesn't forward it to the others and their entries.
  */
 static void
 test_all_entries_know_a_leaving_engine_within_three_seconds (void)
@@ -422,8 +422,8 @@
 static const SuiteCase cases[] = {
   { "all entries know a leaving engine within three seconds",
     test_all_entries_know_a_leaving_engine_within_three_seconds },
-  { "a drained controller gives its leases up", test_a_drained_controller_releases_its_leases },
-  { "engines come to run what is declared and stay so",
+  { "a drained controller releases its leases", test_a_drained_controller_releases_its_leases },
+  { "engines converge to the declared configuration",
     test_engines_converge_to_the_declared_configuration },
   { "a dead entry's requests are cancelled", test_a_dead_entrys_requests_are_cancelled },
   { "configuration comes from peers while the store is down",
--- a/tests/unit/ct_placement_test.c
+++ b/tests/unit/ct_placement_test.c
@@ -257,9 +257,9 @@
 
 static const SuiteCase cases[] = {
   { "placement by table", test_placement_by_table },
-  { "one engine less moves few others", test_removing_an_engine_moves_few_others },
-  { "the former holder's orders are waited out", test_orders_wait_for_the_former_holders_orders },
-  { "no order without a lease at that moment", test_no_order_after_the_lease_has_expired },
+  { "removing an engine moves few others", test_removing_an_engine_moves_few_others },
+  { "orders wait for the former holder's orders", test_orders_wait_for_the_former_holders_orders },
+  { "no order after the lease has expired", test_no_order_after_the_lease_has_expired },
 };
 
 SUITE_MAIN ("ct_placement", cases)
--- a/tests/unit/ctl_parse_test.c
+++ b/tests/unit/ctl_parse_test.c
@@ -281,9 +281,9 @@
 
 static const SuiteCase cases[] = {
   { "commands and their findings", test_commands_by_table },
-  { "conditions without end", test_oversized_conditions },
+  { "oversized conditions", test_oversized_conditions },
   { "files and their findings", test_files_by_table },
-  { "changes as the controller takes them", test_changes_as_json },
+  { "changes as sent to the controller", test_changes_as_json },
   { "numbers", test_numbers_by_table },
   { "queries over rows", test_queries_by_table },
 };
--- a/tests/unit/ctl_session_test.c
+++ b/tests/unit/ctl_session_test.c
@@ -176,7 +176,7 @@
 #define REFUSED                                                                                    \
   {                                                                                                \
     0, "{}"                                                                                        \
-  } /* the body tells it from an unused element */
+  } /* the body distinguishes it from an unused element */
 #define NOT_RUN                                                                                    \
   {                                                                                                \
     503, "{\"error\":\"store\",\"outcome\":\"not-run\"}"                                           \
@@ -303,7 +303,7 @@
 
 static const SuiteCase cases[] = {
   { "changes: outcome and retries", test_changes_by_table },
-  { "questions to controllers and entries", test_reads_by_table },
+  { "queries to controllers and entries", test_reads_by_table },
   { "JSON output", test_json_output },
 };
 
--- a/tests/unit/en_core_test.c
+++ b/tests/unit/en_core_test.c
@@ -297,7 +297,7 @@
 }
 
 /*
- * Guards against callers waiting for their whole time limit under overload while few are served.
+ * Guards against callers waiting for their entire time limit under overload while few are served.
  * Three times the load that the engines can serve arrives, with a limit of 5 s; requests that can't
  * be served in time must be refused and not queued.
  */
--- a/tests/unit/en_faults_test.c
+++ b/tests/unit/en_faults_test.c
@@ -25,7 +25,7 @@
 /*
  * Guards against a caller waiting indefinitely, or getting a partial or another request's answer.
  * The connection to the engine is refused, cut or silent in some phase of the request, or the
- * engine's frames are late, duplicated, another request's, or too few. The fault: trusting the
+ * engine's frames are late, duplicated, another request's, or too few. The fault: relying on the
  * connection, or resuming a stream without checking its text.
  */
 static const FaultCase fault_cases[] = {
@@ -263,7 +263,7 @@
   { "a stream continues correctly after its engine is lost", test_engine_lost_in_the_stream },
   { "no caller waits past its limit", test_limits },
   { "memory comes back when cancels are lost", test_lost_cancels },
-  { "cancels to an engine that is gone end", test_cancels_to_a_removed_engine },
+  { "cancels to a removed engine end", test_cancels_to_a_removed_engine },
 };
 
 SUITE_MAIN ("en_faults", cases)
--- a/tests/unit/en_framing_test.c
+++ b/tests/unit/en_framing_test.c
@@ -42,7 +42,7 @@
 static void
 on_test_timeout (evutil_socket_t fd, short what, void *data)
 {
-  g_error ("nothing came for %d s", TEST_TIMEOUT_S);
+  g_error ("no data was received for %d s", TEST_TIMEOUT_S);
 }
 
 static void
@@ -231,7 +231,7 @@
     "HTTP/1.1 417 ", "only 100-continue may be expected" },
   { "empty lines before", "\r\n\r\nGET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", "HTTP/1.1 200 ",
     HEALTHY },
-  { "a whole URI", "GET http://x/healthz?a=b HTTP/1.1\r\nHost: x\r\n\r\n", "HTTP/1.1 200 ",
+  { "an absolute URI", "GET http://x/healthz?a=b HTTP/1.1\r\nHost: x\r\n\r\n", "HTTP/1.1 200 ",
     HEALTHY },
   { "the version before", "GET /healthz HTTP/1.0\r\n\r\n", "HTTP/1.1 200 ", HEALTHY },
   { "another method", "PATCH /s/desk/a HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n",
--- a/tests/unit/en_once_test.c
+++ b/tests/unit/en_once_test.c
@@ -309,7 +309,7 @@
 
 static const SuiteCase cases[] = {
   { "a record's verdict decides before the endpoint is contacted", test_verdicts },
-  { "a call runs once whatever its endpoint does", test_endpoint_outcomes },
+  { "a call runs at most once with every fault of its endpoint", test_endpoint_outcomes },
   { "a recorded request outlives its caller", test_recorded_request_outlives_its_caller },
   { "an answer waits for its record for a limited time",
     test_an_answer_waits_a_limited_time_for_its_record },
--- a/tests/unit/en_policy_test.c
+++ b/tests/unit/en_policy_test.c
@@ -279,7 +279,7 @@
 
 /*
  * Guards against serving nothing, or overloading engines, in an outage of the platform. No shard
- * has a holder for a long time, so nobody grants credits; the static shares of nine entries must
+ * has a holder for a long time, so no credits are granted; the static shares of nine entries must
  * add up to the engine's capacity.
  */
 static void
@@ -344,7 +344,7 @@
   { "not the one that was just given more", SETUP_RECENT, "engine-2" },
   { "not the one that just failed", SETUP_FAILED, "engine-2" },
   { "not the one that is leaving", SETUP_LEAVING, "engine-2" },
-  { "not the one without room", SETUP_FULL, "engine-2" },
+  { "not the one without free capacity", SETUP_FULL, "engine-2" },
   { "not the one kept for another", SETUP_HELD, "engine-2" },
   { "another zone rather than a queue", SETUP_OTHER_ZONE, "engine-1" },
   { "the prompt's cached part counts", SETUP_CACHED, "engine-1" },
@@ -473,7 +473,7 @@
   { "a flood is distinguished from large users", test_a_flood_is_distinguished_from_large_users },
   { "workspaces share by weight over all entries", test_workspaces_share_by_weight },
   { "short requests pass long ones", test_short_requests_pass_long_ones },
-  { "grants are taken in order and lapse", test_grants },
+  { "grants are applied in order and lapse", test_grants },
   { "static shares of all entries fit the engine", test_static_shares_fit },
   { "the choice of an engine", test_choice_of_an_engine },
   { "long prompts keep to their engines", test_long_prompts_keep_to_their_engines },
--- a/tests/unit/en_retry_test.c
+++ b/tests/unit/en_retry_test.c
@@ -102,7 +102,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "what is tried again", test_retries },
+  { "which losses are retried", test_retries },
   { "a repeated answer continues the first one or is rejected", test_joined_answers },
 };
 
