--- a/controller/parts.c
+++ b/controller/parts.c
@@ -267,8 +267,8 @@
     .idem = controller->idem,
     .answers = { .credit = answer_credit, .share = answer_share, .address = controller_address },
     .data = controller,
-    .begin_limit = RELAY_BEGIN_TIMEOUT,
-    .finish_limit = RELAY_FINISH_TIMEOUT,
+    .begin_timeout = RELAY_BEGIN_TIMEOUT,
+    .finish_timeout = RELAY_FINISH_TIMEOUT,
   };
 
   controller->engines = ct_engines_new (&engines);
--- a/controller/relay_idem.c
+++ b/controller/relay_idem.c
@@ -169,7 +169,7 @@
   finish.attempt = begin->attempt;
   finish.state = ALDERTURN__IDEM_STATE__IDEM_STATE_NOT_RUN;
   try_holder (pending_new (relay, 0, WR_FRAME (IDEM_FINISH, idem_finish, &finish),
-                           relay->options.finish_limit));
+                           relay->options.finish_timeout));
 }
 
 static void
@@ -333,7 +333,7 @@
     }
   try_holder (pending_new (relay, peer->id,
                            WR_FRAME (IDEM_BEGIN, idem_begin, (Alderturn__IdemBegin *)begin),
-                           relay->options.begin_limit));
+                           relay->options.begin_timeout));
 }
 
 void
@@ -352,7 +352,7 @@
     }
   try_holder (pending_new (relay, peer->id,
                            WR_FRAME (IDEM_FINISH, idem_finish, (Alderturn__IdemFinish *)finish),
-                           relay->options.finish_limit));
+                           relay->options.finish_timeout));
 }
 
 void
--- a/ctl/condition.c
+++ b/ctl/condition.c
@@ -186,11 +186,11 @@
 operands_parse (ClParser *parser,
                 const ClTable *table,
                 guint depth,
-                OperandParseFunc part,
+                OperandParseFunc parse_operand,
                 const char *word,
                 ConditionType type)
 {
-  ClCondition *condition = part (parser, table, depth);
+  ClCondition *condition = parse_operand (parser, table, depth);
   guint joins = 0;
 
   while (condition != NULL && cl_parser_next_is_word (parser, word))
@@ -203,7 +203,7 @@
           return NULL;
         }
       cl_parser_next (parser);
-      condition = conditions_join (type, condition, part (parser, table, depth));
+      condition = conditions_join (type, condition, parse_operand (parser, table, depth));
     }
   return condition;
 }
--- a/entry/front.c
+++ b/entry/front.c
@@ -131,7 +131,7 @@
 read_headers (HtCall *call, EnSubmission *submission)
 {
   const HtMessage *request = ht_call_request (call);
-  const char *limit = ht_message_get (request, "alderturn-timeout-ms");
+  const char *timeout = ht_message_get (request, "alderturn-timeout-ms");
   const char *idempotent = ht_message_get (request, "alderturn-idempotent");
 
   submission->token = bearer_token (call);
@@ -139,14 +139,14 @@
   if (submission->key != NULL
       && (submission->key[0] == '\0' || strlen (submission->key) > MAX_KEY_BYTES))
     return "Idempotency-Key must have 1 to 256 bytes";
-  if (limit != NULL)
+  if (timeout != NULL)
     {
       char *end;
-      gint64 milliseconds = g_ascii_strtoll (limit, &end, 10);
+      gint64 milliseconds = g_ascii_strtoll (timeout, &end, 10);
 
       if (*end != '\0' || milliseconds <= 0 || milliseconds > MAX_TIMEOUT_MS)
         return "Alderturn-Timeout-Ms must be 1 to 86400000";
-      submission->limit = milliseconds * KNL_MSEC;
+      submission->timeout = milliseconds * KNL_MSEC;
     }
   if (idempotent == NULL || strcmp (idempotent, "true") == 0)
     return NULL;
--- a/entry/records.c
+++ b/entry/records.c
@@ -29,8 +29,8 @@
   EnRecordBegunFunc begun;
   EnRecordFinishedFunc finished;
   gpointer data;
-  KnlTimerId limit;
-  KnlTimerId retry;
+  KnlTimerId timeout_timer;
+  KnlTimerId retry_timer;
   CmBackoff backoff;
   KnlTime started;
 } Call;
@@ -40,8 +40,8 @@
 {
   Call *call = data;
 
-  knl_timer_stop (call->owner->kernel, &call->limit);
-  knl_timer_stop (call->owner->kernel, &call->retry);
+  knl_timer_stop (call->owner->kernel, &call->timeout_timer);
+  knl_timer_stop (call->owner->kernel, &call->retry_timer);
   if (!call->is_begin)
     call->owner->finishes--;
   g_free ((char *)call->finish.workspace);
@@ -99,7 +99,7 @@
   EnRecords *self = call->owner;
   Alderturn__IdemFinish body = ALDERTURN__IDEM_FINISH__INIT;
 
-  call->retry = 0;
+  call->retry_timer = 0;
   body.call = call->id;
   body.workspace = (char *)call->finish.workspace;
   body.key = (char *)call->finish.key;
@@ -111,8 +111,8 @@
   if (call->finish.content_type != NULL)
     body.content_type = (char *)call->finish.content_type;
   en_uplink_send (self->uplink, WR_FRAME (IDEM_FINISH, idem_finish, &body));
-  call->retry = knl_timer_start (self->kernel, cm_backoff_next (&call->backoff, self->kernel),
-                                 send_finish, call);
+  call->retry_timer = knl_timer_start (self->kernel, cm_backoff_next (&call->backoff, self->kernel),
+                                       send_finish, call);
   if (knl_kernel_now (self->kernel) - call->started <= FINISH_TIMEOUT)
     return;
   cm_log (CM_LOG_WARNING, "record-not-finished", "s", "workspace", call->finish.workspace, "s",
@@ -127,7 +127,7 @@
   Call *call = data;
   EnRecordFinishedFunc finished = call->finished;
 
-  call->limit = 0;
+  call->timeout_timer = 0;
   call->finished = NULL;
   if (finished != NULL)
     finished (FALSE, call->data);
@@ -136,7 +136,7 @@
 EnRecordCall
 en_records_finish (EnRecords *self,
                    const EnRecordFinish *finish,
-                   KnlTime limit,
+                   KnlTime timeout,
                    EnRecordFinishedFunc finished,
                    gpointer data)
 {
@@ -145,7 +145,7 @@
   self->finishes++;
   call->finished = finished;
   if (finished != NULL)
-    call->limit = knl_timer_start (self->kernel, limit, on_finish_limit, call);
+    call->timeout_timer = knl_timer_start (self->kernel, timeout, on_finish_limit, call);
   send_finish (call);
   return call->id;
 }
@@ -171,7 +171,7 @@
   EnRecords *self = call->owner;
   EnRecordVerdict verdict = { .verdict = ALDERTURN__IDEM_VERDICT__IDEM_VERDICT_REFUSED };
 
-  call->limit = 0;
+  call->timeout_timer = 0;
   g_hash_table_steal (self->calls, &call->id);
   record_not_run (self, call);
   call->begun (&verdict, call->data);
@@ -184,7 +184,7 @@
                   const char *key,
                   guint64 digest,
                   const char *attempt,
-                  KnlTime limit,
+                  KnlTime timeout,
                   EnRecordBegunFunc begun,
                   gpointer data)
 {
@@ -194,7 +194,7 @@
 
   call->is_begin = TRUE;
   call->begun = begun;
-  call->limit = knl_timer_start (self->kernel, limit, on_begin_limit, call);
+  call->timeout_timer = knl_timer_start (self->kernel, timeout, on_begin_limit, call);
   body.call = call->id;
   body.workspace = (char *)workspace;
   body.key = (char *)key;
--- a/entry/reservation.c
+++ b/entry/reservation.c
@@ -37,7 +37,7 @@
   if (attempt != NULL)
     en_attempt_abort (attempt);
   if (part->charge != NULL)
-    en_charge_return (part->charge, part->owner->host.host->fleet);
+    en_charge_return (part->charge, part->owner->host.attempt_host->fleet);
   en_progress_clear (&part->progress);
   g_free (part->endpoint);
   g_free (part->address);
@@ -58,9 +58,9 @@
 }
 
 static guint64
-max_part_tokens (const EnReservationHost *host, const EnEndpoint *endpoint, double part)
+max_part_tokens (const EnReservationHost *host, const EnEndpoint *endpoint, double max_fraction)
 {
-  return (guint64)((double)en_credits_max_tokens (host->credits, endpoint) * part);
+  return (guint64)((double)en_credits_max_tokens (host->credits, endpoint) * max_fraction);
 }
 
 static int
@@ -74,7 +74,7 @@
 choose_engines (const EnReservationHost *host,
                 const GPtrArray *engines,
                 guint64 tokens,
-                double part)
+                double max_fraction)
 {
   GPtrArray *chosen = g_ptr_array_new ();
 
@@ -82,7 +82,7 @@
     {
       EnEndpoint *endpoint = g_ptr_array_index (engines, i);
 
-      tokens -= MIN (max_part_tokens (host, endpoint, part), tokens);
+      tokens -= MIN (max_part_tokens (host, endpoint, max_fraction), tokens);
       g_ptr_array_add (chosen, endpoint);
     }
   if (tokens > 0)
@@ -94,21 +94,21 @@
 EnReservation *
 en_reservation_new (const EnReservationHost *host,
                     const GPtrArray *engines,
-                    double part,
+                    double max_fraction,
                     guint64 prefill,
                     guint64 answer)
 {
   EnReservation *self = g_new0 (EnReservation, 1);
-  GPtrArray *chosen = choose_engines (host, engines, prefill + answer, part);
+  GPtrArray *chosen = choose_engines (host, engines, prefill + answer, max_fraction);
   guint64 left = prefill + answer;
 
   self->host = *host;
   self->parts = g_ptr_array_new_with_free_func (part_free);
-  self->started = knl_kernel_now (host->host->kernel);
+  self->started = knl_kernel_now (host->attempt_host->kernel);
   for (guint i = 0; i < chosen->len && left > 0; i++)
     {
       const EnEndpoint *endpoint = g_ptr_array_index (chosen, i);
-      guint64 tokens = MIN (left, max_part_tokens (host, endpoint, part));
+      guint64 tokens = MIN (left, max_part_tokens (host, endpoint, max_fraction));
 
       /* The answer is never divided: the parts before the last hold only prompt tokens. */
       if (tokens < left)
@@ -137,10 +137,11 @@
 static gboolean
 has_capacity (EnReservation *self, const Part *part)
 {
-  EnEndpoint *endpoint = en_fleet_find (self->host.host->fleet, part->endpoint);
+  EnEndpoint *endpoint = en_fleet_find (self->host.attempt_host->fleet, part->endpoint);
   EnNeed need = { .tokens = part->tokens, .is_long = TRUE };
 
-  return endpoint != NULL && en_endpoint_usable (endpoint, knl_kernel_now (self->host.host->kernel))
+  return endpoint != NULL
+         && en_endpoint_usable (endpoint, knl_kernel_now (self->host.attempt_host->kernel))
          && en_credits_has_capacity (self->host.credits, endpoint, &need);
 }
 
@@ -155,7 +156,7 @@
   for (guint i = 0; i < self->parts->len; i++)
     {
       Part *part = g_ptr_array_index (self->parts, i);
-      EnEndpoint *endpoint = en_fleet_find (self->host.host->fleet, part->endpoint);
+      EnEndpoint *endpoint = en_fleet_find (self->host.attempt_host->fleet, part->endpoint);
 
       part->charge = en_charge_new (endpoint, part->tokens, 1);
     }
@@ -300,7 +301,7 @@
   for (guint i = 0; i + 1 < self->parts->len; i++)
     {
       Part *part = g_ptr_array_index (self->parts, i);
-      EnEndpoint *endpoint = en_fleet_find (self->host.host->fleet, part->endpoint);
+      EnEndpoint *endpoint = en_fleet_find (self->host.attempt_host->fleet, part->endpoint);
       gsize to = char_boundary_at (text, length, from + part->tokens * EN_TOKEN_BYTES);
       char *id = next_id (self->host.data);
       EnAttemptStart part_start = *start;
@@ -314,8 +315,8 @@
       part_start.hold = TRUE;
       part_start.progress = &part->progress;
       part->charge = NULL;
-      part->attempt =
-          en_attempt_new (self->host.host, endpoint, charge, &part_start, &part_events, part);
+      part->attempt = en_attempt_new (self->host.attempt_host, endpoint, charge, &part_start,
+                                      &part_events, part);
       g_bytes_unref (part_start.prompt);
       g_free (id);
       from = to;
--- a/entry/reserve.c
+++ b/entry/reserve.c
@@ -93,7 +93,7 @@
 plan_reservation (EnCore *core, EnRequest *request)
 {
   EnReservationHost host = {
-    .host = &core->host,
+    .attempt_host = &core->host,
     .credits = core->credits,
     .events = &reservation_events,
     .data = request,
--- a/entry/submit.c
+++ b/entry/submit.c
@@ -202,13 +202,13 @@
 }
 
 static KnlTime
-time_limit (const Check *check)
+request_timeout (const Check *check)
 {
-  KnlTime limit = check->submission->limit;
+  KnlTime timeout = check->submission->timeout;
 
-  if (limit <= 0)
-    limit = co_object_integer (check->service, "timeout-ms") * KNL_MSEC;
-  return MIN (limit, check->core->settings.max_limit);
+  if (timeout <= 0)
+    timeout = co_object_integer (check->service, "timeout-ms") * KNL_MSEC;
+  return MIN (timeout, check->core->settings.max_limit);
 }
 
 /* Total memory of the engines that may run the request; 0 while any engine's size is unknown. */
@@ -238,12 +238,12 @@
 {
   EnCore *core = check->core;
   EnRequest *request = check->request;
-  KnlTime limit = time_limit (check);
+  KnlTime timeout = request_timeout (check);
   guint64 capacity;
   KnlTime wait;
   KnlTime expected;
 
-  request->deadline = request->received_at + limit;
+  request->deadline = request->received_at + timeout;
   if (request->model == NULL)
     return TRUE;
   capacity = fleet_capacity (check);
@@ -254,10 +254,10 @@
                             request->workspace, request->deadline);
   expected = (KnlTime)(SERVICE_TIME_FRACTION * (double)en_core_service_time (core, request)
                        + WAIT_FACTOR * (double)wait);
-  if (expected <= limit)
+  if (expected <= timeout)
     return TRUE;
   return refuse (check, EN_ERROR_OVERLOADED, "it can't be served within its limit",
-                 MAX (expected - limit, BUSY_RETRY_AFTER));
+                 MAX (expected - timeout, BUSY_RETRY_AFTER));
 }
 
 static gboolean
--- a/include/controller/relay.h
+++ b/include/controller/relay.h
@@ -31,8 +31,8 @@
   CoIdem *idem;
   CtRelayAnswers answers;
   gpointer data;
-  KnlTime begin_limit;  /**< a begin that no holder has answered in this time is refused */
-  KnlTime finish_limit; /**< likewise for a finish, which the entry sends again */
+  KnlTime begin_timeout;  /**< a begin that no holder has answered in this time is refused */
+  KnlTime finish_timeout; /**< likewise for a finish, which the entry sends again */
 } CtRelayOptions;
 
 CtRelay *ct_relay_new (const CtRelayOptions *options);
--- a/include/entry/caller.h
+++ b/include/entry/caller.h
@@ -52,7 +52,7 @@
   const char *service;
   const char *key;         /**< Idempotency-Key, or NULL */
   gboolean non_idempotent; /**< the caller declares that it must not run twice */
-  KnlTime limit;           /**< time limit; 0: the service's default */
+  KnlTime timeout;         /**< 0: the default of the service */
 
   const char *prompt; /**< of a completion; NULL: a call to a plain service */
   gsize prompt_bytes;
--- a/include/entry/records.h
+++ b/include/entry/records.h
@@ -24,10 +24,10 @@
   const char *attempt; /**< id of the attempt that the record belongs to */
 } EnRecordVerdict;
 
-/** Without an answer within the time limit, the verdict is REFUSED: the attempt must not run. */
+/** Without an answer within the timeout, the verdict is REFUSED: the attempt must not run. */
 typedef void (*EnRecordBegunFunc) (const EnRecordVerdict *verdict, gpointer data);
 
-/** `durable` FALSE: not confirmed within the time limit; sending is retried for up to 60 s. */
+/** `durable` FALSE: not confirmed within the timeout; sending is retried for up to 60 s. */
 typedef void (*EnRecordFinishedFunc) (gboolean durable, gpointer data);
 
 /** How an attempt ended. Strings are copied. */
@@ -51,14 +51,14 @@
                                const char *key,
                                guint64 digest,
                                const char *attempt,
-                               KnlTime limit,
+                               KnlTime timeout,
                                EnRecordBegunFunc begun,
                                gpointer data);
 
-/** Records the outcome; `finished` (may be NULL) is called once, after `limit` at the latest. */
+/** Records the outcome; `finished` (may be NULL) is called once, after `timeout` at the latest. */
 EnRecordCall en_records_finish (EnRecords *records,
                                 const EnRecordFinish *finish,
-                                KnlTime limit,
+                                KnlTime timeout,
                                 EnRecordFinishedFunc finished,
                                 gpointer data);
 
--- a/include/entry/reservation.h
+++ b/include/entry/reservation.h
@@ -32,7 +32,7 @@
 
 typedef struct
 {
-  const EnAttemptHost *host;
+  const EnAttemptHost *attempt_host;
   EnCredits *credits;
   const EnReservationEvents *events;
   gpointer data;
@@ -41,12 +41,12 @@
 /**
  * Plans parts on the first of `engines` (EnEndpoint, in order of preference) that
  * together have enough for `prefill` prompt tokens and `answer` answer tokens.
- * `part` is the largest fraction of an engine's memory that a part may use.
+ * `max_fraction` is the largest fraction of an engine's memory that a part may use.
  * Returns NULL if all engines together don't have that much.
  */
 EnReservation *en_reservation_new (const EnReservationHost *host,
                                    const GPtrArray *engines,
-                                   double part,
+                                   double max_fraction,
                                    guint64 prefill,
                                    guint64 answer);
 
--- a/tests/fakes/caller.c
+++ b/tests/fakes/caller.c
@@ -95,7 +95,7 @@
                               .prompt = prompt,
                               .prompt_bytes = bytes,
                               .max_tokens = max_tokens,
-                              .limit = limit };
+                              .timeout = limit };
 
   memset (prompt, 'x', bytes);
   memcpy (prompt, unique, strlen (unique));
@@ -121,7 +121,7 @@
   EnSubmission submission = { .service = "desk",
                               .key = key,
                               .non_idempotent = TRUE,
-                              .limit = limit,
+                              .timeout = limit,
                               .method = "POST",
                               .path = "/confirm",
                               .content_type = "application/json",
--- a/tests/unit/en_fixture.c
+++ b/tests/unit/en_fixture.c
@@ -237,7 +237,7 @@
     .prompt = prompt,
     .prompt_bytes = strlen (prompt),
     .max_tokens = max_tokens,
-    .limit = limit,
+    .timeout = limit,
   };
 
   return en_core_submit (self->core, &submission, &caller->base);
--- a/tests/unit/en_once_test.c
+++ b/tests/unit/en_once_test.c
@@ -16,7 +16,7 @@
     .service = "app",
     .key = key,
     .non_idempotent = TRUE,
-    .limit = LIMIT,
+    .timeout = LIMIT,
     .method = "POST",
     .path = "/confirm",
     .content_type = "text/plain",
@@ -192,7 +192,7 @@
     .service = "chat",
     .key = "k",
     .non_idempotent = TRUE,
-    .limit = LIMIT,
+    .timeout = LIMIT,
     .prompt = prompt,
     .prompt_bytes = strlen (prompt),
     .max_tokens = 20,
@@ -224,7 +224,7 @@
   };
   EnTestCaller callers[CALLS];
   EnSubmission submission = {
-    .token = "t1", .service = "app", .limit = LIMIT, .method = "POST", .path = "/echo"
+    .token = "t1", .service = "app", .timeout = LIMIT, .method = "POST", .path = "/echo"
   };
   g_autoptr (EnFixture) fixture = en_fixture_new (NULL);
   SdService *service;
