--- a/entry/dispatch.c
+++ b/entry/dispatch.c
@@ -9,8 +9,8 @@
 /* How long a request waits while no engine of its service is usable. */
 #define NO_ENGINE_TIMEOUT (2 * KNL_SEC)
 
-/* The same while a usable engine is large enough, but no holder of its shard grants enough of it.
- * By then the lease and the grants of a lost holder have lapsed, and the next holder grants. */
+/* How long a request waits while a usable engine is large enough, but no holder of its shard grants
+ * enough. By then the lease and grants of a lost holder have lapsed, and the next holder grants. */
 #define NO_HOLDER_TIMEOUT (15 * KNL_SEC)
 
 static EnRoute
--- a/entry/plain.c
+++ b/entry/plain.c
@@ -144,7 +144,7 @@
   en_core_complete (core, request, &answer);
 }
 
-/* A connection may go silent: an idempotent call is retried with half of the remaining time. */
+/* A connection may go silent: an idempotent call leaves half of the remaining time for a retry. */
 static KnlTime
 answer_limit (const EnRequest *request, KnlTime now)
 {
--- a/include/entry/request.h
+++ b/include/entry/request.h
@@ -91,10 +91,10 @@
   KnlTime acquire_timeout; /**< how long the reservation may take to be acquired */
   KnlTime next_reserve_at; /**< earliest time of the next try to reserve */
   EpCallId call;           /**< call to a plain service; 0: none */
-  EnCharge *charge;        /**< of that call */
+  EnCharge *charge;        /**< charge of the call to a plain service */
   char *endpoint;          /**< the endpoint in use, or the last one used */
   guint64 pending_prefill; /**< prompt tokens counted at `endpoint` until the first token */
-  guint64 prefill_ahead;   /**< those of this entry's other requests there at its dispatch */
+  guint64 prefill_ahead;   /**< tokens of this entry's other prompts pending there at dispatch */
   guint pending_epoch;     /**< the endpoint's epoch at its dispatch */
   EnProgress progress;
   GString *answer; /**< text for the idempotency record; NULL: none */
--- a/include/entry/router.h
+++ b/include/entry/router.h
@@ -73,5 +73,5 @@
 /** Tokens of the prompt that the engine's prefix cache is expected to hold. */
 guint64 en_route_cached_tokens (const EnRoute *route, const EnEndpoint *endpoint);
 
-/** Estimated wait for the first token there, by its last report and what was dispatched since. */
+/** Estimated wait for the first token, from the last report and what was dispatched since. */
 KnlTime en_route_estimate (const EnRoute *route, const EnEndpoint *endpoint);
--- a/tests/unit/en_framing_test.c
+++ b/tests/unit/en_framing_test.c
@@ -264,7 +264,7 @@
   const char *name;
   const char *bytes;  /* sent at once */
   const char *more;   /* sent every second; NULL: nothing */
-  guint seconds;      /* after which the connection ends, at most 2 s later */
+  guint seconds;      /* time until the connection ends; up to 2 s more pass */
   const char *answer; /* NULL: it ends without an answer */
 } SlowRow;
 
--- a/tests/unit/en_once_test.c
+++ b/tests/unit/en_once_test.c
@@ -248,7 +248,7 @@
       CU_ASSERT_EQUAL (callers[i].ended, 1);
       en_test_caller_clear (&callers[i]);
     }
-  /* 50 at the start, a tenth of the calls, 2 in each of 20 seconds. */
+  /* Retries allowed: 50 at the start, a tenth of the calls, and 2 in each of 20 seconds. */
   printf ("ran %u times for %d calls ...", service->total, CALLS);
   CU_ASSERT_TRUE (service->total <= CALLS + 50 + CALLS / 10 + 40);
 }
--- a/tests/unit/en_test_uplink.h
+++ b/tests/unit/en_test_uplink.h
@@ -13,7 +13,7 @@
   const EnUplinkEvents *events;
   gpointer data;
   gboolean down;
-  gboolean grants;        /**< answers credit requests with all of each engine */
+  gboolean grants;        /**< grants the full capacity of each engine */
   gboolean ignores_begin; /**< doesn't answer IdemBegin */
   gboolean ignores_finish;
   Alderturn__IdemVerdict verdict;
@@ -29,7 +29,7 @@
   guint64 wanted_tokens; /**< sum over all engines in the last credit request */
 } EnTestUplink;
 
-/** Initially grants all of each engine and answers each IdemBegin with RUN. */
+/** Initially grants the full capacity of each engine and answers each IdemBegin with RUN. */
 void en_test_uplink_init (EnTestUplink *uplink, KnlKernel *kernel);
 void en_test_uplink_clear (EnTestUplink *uplink);
 
--- a/tests/unit/engine_orders_test.c
+++ b/tests/unit/engine_orders_test.c
@@ -1,4 +1,4 @@
-/** Orders to engines, the weights that they load for these, and plain services; fake fleet. */
+/** Orders to engines, the loading of weights, and calls to plain services, with a fake fleet. */
 
 #include "suite.h"
 
