--- a/tests/unit/en_framing_test.c
+++ b/tests/unit/en_framing_test.c
@@ -42,7 +42,7 @@
 static void
 on_test_timeout (evutil_socket_t fd, short what, void *data)
 {
-  g_error ("nothing came for %d s", TEST_TIMEOUT_S);
+  g_error ("no data was received for %d s", TEST_TIMEOUT_S);
 }
 
 static void
@@ -231,7 +231,7 @@
     "HTTP/1.1 417 ", "only 100-continue may be expected" },
   { "empty lines before", "\r\n\r\nGET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", "HTTP/1.1 200 ",
     HEALTHY },
-  { "a whole URI", "GET http://x/healthz?a=b HTTP/1.1\r\nHost: x\r\n\r\n", "HTTP/1.1 200 ",
+  { "an absolute URI", "GET http://x/healthz?a=b HTTP/1.1\r\nHost: x\r\n\r\n", "HTTP/1.1 200 ",
     HEALTHY },
   { "the version before", "GET /healthz HTTP/1.0\r\n\r\n", "HTTP/1.1 200 ", HEALTHY },
   { "another method", "PATCH /s/desk/a HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n",
@@ -264,7 +264,7 @@
   const char *name;
   const char *bytes;  /* sent at once */
   const char *more;   /* sent every second; NULL: nothing */
-  guint seconds;      /* after which the connection ends, at most 2 s later */
+  guint seconds;      /* time until the connection ends; up to 2 s more pass */
   const char *answer; /* NULL: it ends without an answer */
 } SlowRow;
 
--- a/tests/unit/en_once_test.c
+++ b/tests/unit/en_once_test.c
@@ -16,7 +16,7 @@
     .service = "app",
     .key = key,
     .non_idempotent = TRUE,
-    .limit = LIMIT,
+    .timeout = LIMIT,
     .method = "POST",
     .path = "/confirm",
     .content_type = "text/plain",
@@ -192,7 +192,7 @@
     .service = "chat",
     .key = "k",
     .non_idempotent = TRUE,
-    .limit = LIMIT,
+    .timeout = LIMIT,
     .prompt = prompt,
     .prompt_bytes = strlen (prompt),
     .max_tokens = 20,
@@ -224,7 +224,7 @@
   };
   EnTestCaller callers[CALLS];
   EnSubmission submission = {
-    .token = "t1", .service = "app", .limit = LIMIT, .method = "POST", .path = "/echo"
+    .token = "t1", .service = "app", .timeout = LIMIT, .method = "POST", .path = "/echo"
   };
   g_autoptr (EnFixture) fixture = en_fixture_new (NULL);
   SdService *service;
@@ -248,7 +248,7 @@
       CU_ASSERT_EQUAL (callers[i].ended, 1);
       en_test_caller_clear (&callers[i]);
     }
-  /* 50 at the start, a tenth of the calls, 2 in each of 20 seconds. */
+  /* Retries allowed: 50 at the start, a tenth of the calls, and 2 in each of 20 seconds. */
   printf ("ran %u times for %d calls ...", service->total, CALLS);
   CU_ASSERT_TRUE (service->total <= CALLS + 50 + CALLS / 10 + 40);
 }
@@ -309,7 +309,7 @@
 
 static const SuiteCase cases[] = {
   { "a record's verdict decides before the endpoint is contacted", test_verdicts },
-  { "a call runs once whatever its endpoint does", test_endpoint_outcomes },
+  { "a call runs at most once with every fault of its endpoint", test_endpoint_outcomes },
   { "a recorded request outlives its caller", test_recorded_request_outlives_its_caller },
   { "an answer waits for its record for a limited time",
     test_an_answer_waits_a_limited_time_for_its_record },
