--- a/controller/config_links.c
+++ b/controller/config_links.c
@@ -76,5 +76,5 @@
   co_config_store_note_revision (controller->store, push->revision);
   co_config_apply (controller->config, push);
   if (peer->role == ALDERTURN__ROLE__ROLE_CONTROLLER)
-    co_config_store_synced_by_peer (controller->store);
+    co_config_store_note_peer_sync (controller->store);
 }
--- a/controller/controller.c
+++ b/controller/controller.c
@@ -19,7 +19,7 @@
   controller->kernel = options->kernel;
   controller->settings = options->settings;
   controller->config = options->config;
-  ct_controller_start_parts (controller);
+  ct_controller_create_modules (controller);
   co_config_observe (controller->config, ct_config_on_changed, controller);
   if (ct_links_listen (controller->links, options->identity->address))
     return controller;
--- a/controller/parts.c
+++ b/controller/parts.c
@@ -124,7 +124,7 @@
     .replica = controller->config,
     .poll_interval = settings->config_poll_ms * KNL_MSEC,
     .idle_interval = settings->config_poll_ms * KNL_MSEC * CT_IDLE_POLL_FACTOR,
-    .apply_limit = CT_APPLY_TIMEOUT,
+    .apply_timeout = CT_APPLY_TIMEOUT,
     .on_ready = ct_config_on_ready,
     .data = controller,
   };
@@ -150,10 +150,10 @@
     .batch_delay = IDEM_BATCH_DELAY,
     .begin_timeout = IDEM_BEGIN_TIMEOUT,
     .finish_timeout = IDEM_FINISH_TIMEOUT,
-    .attempt_limit = settings->idem_attempt_ms * KNL_MSEC,
+    .attempt_timeout = settings->idem_attempt_ms * KNL_MSEC,
     .answer_bytes = (gsize)settings->idem_answer_bytes,
-    .cache_limit = MAX_IDEM_CACHED,
-    .attempt_gone = attempt_has_ended,
+    .max_cached = MAX_IDEM_CACHED,
+    .attempt_ended = attempt_has_ended,
     .data = controller,
   };
 
@@ -182,7 +182,7 @@
     .idem = controller->idem,
     .epoch_time = IDEM_EPOCH_DURATION,
     .keep = (guint64)settings->idem_retention_hours,
-    .page_pause = IDEM_PAGE_DELAY,
+    .page_delay = IDEM_PAGE_DELAY,
   };
 
   controller->compact = co_config_compact_new (&compact);
@@ -221,28 +221,27 @@
 {
   CtController *controller;
   guint count;
-} Connecting;
+} ConnectContext;
 
 static void
 connect_controller (const Alderturn__Member *member, gpointer data)
 {
-  Connecting *connecting = data;
+  ConnectContext *context = data;
 
-  if (strcmp (member->name, connecting->controller->options.identity->instance) == 0)
+  if (strcmp (member->name, context->controller->options.identity->instance) == 0)
     return;
-  connecting->count++;
-  ct_links_connect (connecting->controller->links, member->name, member->address);
+  context->count++;
+  ct_links_connect (context->controller->links, member->name, member->address);
 }
 
 static guint
 connect_controllers (gpointer data)
 {
-  Connecting connecting = { .controller = data };
+  ConnectContext context = { .controller = data };
 
-  co_members_foreach (ct_members_membership (connecting.controller->members),
-                      ALDERTURN__MEMBER_KIND__MEMBER_KIND_CONTROLLER, connect_controller,
-                      &connecting);
-  return connecting.count;
+  co_members_foreach (ct_members_membership (context.controller->members),
+                      ALDERTURN__MEMBER_KIND__MEMBER_KIND_CONTROLLER, connect_controller, &context);
+  return context.count;
 }
 
 static void
@@ -276,7 +275,7 @@
 }
 
 void
-ct_controller_start_parts (CtController *controller)
+ct_controller_create_modules (CtController *controller)
 {
   CtGatherOptions gather = {
     .kernel = controller->kernel,
--- a/controller/peers.c
+++ b/controller/peers.c
@@ -39,23 +39,23 @@
       WR_FRAME (SUSPECT_UPDATE, suspect_update, (Alderturn__SuspectUpdate *)update));
 }
 
-/* `places` and `addresses` list all controllers that aren't leaving, this one included. */
+/* `nodes` and `addresses` list all controllers that aren't leaving, this one included. */
 static void
-keep_links (CtController *controller, const GArray *places, const GPtrArray *addresses)
+keep_links (CtController *controller, const GArray *nodes, const GPtrArray *addresses)
 {
   CoNode self = { .name = controller->options.identity->instance,
                   .zone = controller->options.identity->zone };
-  g_autofree gboolean *keep = g_new0 (gboolean, places->len);
-  g_autofree const char **names = g_new0 (const char *, places->len);
-  g_autofree const char **kept_addresses = g_new0 (const char *, places->len);
+  g_autofree gboolean *keep = g_new0 (gboolean, nodes->len);
+  g_autofree const char **names = g_new0 (const char *, nodes->len);
+  g_autofree const char **kept_addresses = g_new0 (const char *, nodes->len);
   guint n = 0;
 
-  co_overlay_choose (&self, (const CoNode *)places->data, places->len, keep);
-  for (guint i = 0; i < places->len; i++)
+  co_overlay_choose (&self, (const CoNode *)nodes->data, nodes->len, keep);
+  for (guint i = 0; i < nodes->len; i++)
     {
       if (!keep[i])
         continue;
-      names[n] = g_array_index (places, CoNode, i).name;
+      names[n] = g_array_index (nodes, CoNode, i).name;
       kept_addresses[n++] = g_ptr_array_index (addresses, i);
     }
   ct_links_keep (controller->links, names, kept_addresses, n);
@@ -71,32 +71,32 @@
   const char *zone = controller->options.identity->zone;
   GPtrArray *all = g_ptr_array_new ();
   GPtrArray *in_zone = g_ptr_array_new ();
-  GArray *places = g_array_new (FALSE, FALSE, sizeof (CoNode));
+  GArray *nodes = g_array_new (FALSE, FALSE, sizeof (CoNode));
   GPtrArray *addresses = g_ptr_array_new ();
 
   for (guint i = 0; i < view->len; i++)
     {
       const Alderturn__Member *member = g_ptr_array_index (view, i);
-      CoNode place;
+      CoNode node;
 
       if (member->kind != ALDERTURN__MEMBER_KIND__MEMBER_KIND_CONTROLLER
           || ct_member_is_leaving (member))
         continue;
-      place = (CoNode){ .name = member->name, .zone = member->zone };
-      g_array_append_val (places, place);
+      node = (CoNode){ .name = member->name, .zone = member->zone };
+      g_array_append_val (nodes, node);
       g_ptr_array_add (addresses, member->address);
       g_ptr_array_add (all, member->name);
       if (strcmp (member->zone, zone) == 0)
         g_ptr_array_add (in_zone, member->name);
     }
-  keep_links (controller, places, addresses);
+  keep_links (controller, nodes, addresses);
   if (ct_members_listed (controller->members))
     co_leases_set_candidates (controller->leases, (const char *const *)all->pdata, all->len);
   co_config_store_set_reader (
       controller->store,
       co_rendezvous_rank ((const char *const *)in_zone->pdata, in_zone->len, self, "config-reader")
           < CT_READERS_PER_ZONE);
-  g_array_free (places, TRUE);
+  g_array_free (nodes, TRUE);
   g_ptr_array_free (addresses, TRUE);
   g_ptr_array_free (all, TRUE);
   g_ptr_array_free (in_zone, TRUE);
--- a/controller/relay_idem.c
+++ b/controller/relay_idem.c
@@ -131,7 +131,7 @@
 }
 
 static Pending *
-pending_new (CtRelayIdem *relay, guint64 peer, const Alderturn__Frame *frame, KnlTime limit)
+pending_new (CtRelayIdem *relay, guint64 peer, const Alderturn__Frame *frame, KnlTime timeout)
 {
   Pending *pending = g_new0 (Pending, 1);
 
@@ -149,7 +149,7 @@
       pending->peer_call = pending->frame->idem_finish->call;
       pending->frame->idem_finish->call = pending->call;
     }
-  pending->deadline = knl_kernel_now (relay->options.kernel) + limit;
+  pending->deadline = knl_kernel_now (relay->options.kernel) + timeout;
   g_hash_table_insert (relay->pending, &pending->call, pending);
   return pending;
 }
--- a/coord/config_compact.c
+++ b/coord/config_compact.c
@@ -58,7 +58,7 @@
 }
 
 static gboolean
-same_operation (const TbRow *a, const TbRow *b)
+is_same_operation (const TbRow *a, const TbRow *b)
 {
   char *x = operation_of (a);
   char *y = operation_of (b);
@@ -80,7 +80,7 @@
     n++;
   if (n == n_rows && more)
     n--;
-  while (n > 0 && n < n_rows && same_operation (&rows[n - 1], &rows[n]))
+  while (n > 0 && n < n_rows && is_same_operation (&rows[n - 1], &rows[n]))
     n--;
   return n;
 }
--- a/coord/config_store.c
+++ b/coord/config_store.c
@@ -123,7 +123,7 @@
     .kernel = options->kernel,
     .platform = options->platform,
     .replica = options->replica,
-    .timeout = options->apply_limit,
+    .timeout = options->apply_timeout,
     .request_pull = on_pull_requested,
     .ended = on_apply_ended,
     .store = store,
@@ -170,7 +170,7 @@
 }
 
 void
-co_config_store_synced_by_peer (CoConfigStore *store)
+co_config_store_note_peer_sync (CoConfigStore *store)
 {
   store->compared = TRUE;
   update_ready (store);
--- a/coord/credit.c
+++ b/coord/credit.c
@@ -14,7 +14,7 @@
 
 /* The first entry in the queue for large requests goes to the back after this time in the queue,
    so that an entry whose request can't be served doesn't block the others. */
-#define TURN_LIMIT (30 * KNL_SEC)
+#define LARGE_REQUEST_QUEUE_PERIOD (30 * KNL_SEC)
 
 KnlTime
 co_credit_now (const CoCredit *credit)
@@ -65,19 +65,19 @@
 }
 
 CoCreditAccount *
-co_credit_account (CoCredit *credit, const char *entry, guint64 incarnation, gboolean make)
+co_credit_account (CoCredit *credit, const char *entry, guint64 incarnation, gboolean create)
 {
   char *name = g_strdup_printf ("%s~%" G_GUINT64_FORMAT, entry, incarnation);
   CoCreditAccount *account = g_hash_table_lookup (credit->accounts, name);
 
-  if (account == NULL && make)
+  if (account == NULL && create)
     {
       account = g_new0 (CoCreditAccount, 1);
       account->name = g_strdup (name);
       account->grants = g_array_new (FALSE, FALSE, sizeof (CoCreditGrant));
       account->last_seen_at = -1;
       account->unclaimed_since = KNL_NEVER;
-      account->gone_since = KNL_NEVER;
+      account->absent_since = KNL_NEVER;
       g_hash_table_insert (credit->accounts, account->name, account);
     }
   g_free (name);
@@ -134,14 +134,14 @@
   g_hash_table_iter_init (&iter, credit->accounts);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      guint64 its_tokens;
-      guint its_slots;
+      guint64 account_tokens;
+      guint account_slots;
 
       if (value == except)
         continue;
-      committed_to (credit, value, &its_tokens, &its_slots);
-      *tokens += its_tokens;
-      *slots += its_slots;
+      committed_to (credit, value, &account_tokens, &account_slots);
+      *tokens += account_tokens;
+      *slots += account_slots;
     }
 }
 
@@ -295,7 +295,8 @@
   KnlTime now = co_credit_now (credit);
 
   if (account->largest == 0
-      || (now - account->queued_since > TURN_LIMIT && find_first_in_queue (credit) == account))
+      || (now - account->queued_since > LARGE_REQUEST_QUEUE_PERIOD
+          && find_first_in_queue (credit) == account))
     account->queued_since = now;
   account->largest = largest;
 }
@@ -316,10 +317,10 @@
 
   if (first_in_queue == account)
     return MAX (first_in_queue_tokens (credit, first_in_queue),
-                co_fair_part (wants, account->wanted_tokens, left, credit->options.reserve));
+                co_fair_share (wants, account->wanted_tokens, left, credit->options.reserve));
   if (first_in_queue != NULL)
     left -= first_in_queue_tokens (credit, first_in_queue);
-  return co_fair_part (wants, account->wanted_tokens, left, credit->options.reserve);
+  return co_fair_share (wants, account->wanted_tokens, left, credit->options.reserve);
 }
 
 static void
@@ -384,8 +385,8 @@
   collect_wants (credit, wants, slot_wants);
   committed_to_others (credit, account, &other_tokens, &other_slots);
   tokens = target_tokens (credit, account, wants);
-  slots = co_fair_part (slot_wants, account->wanted_slots, credit->capacity_slots,
-                        credit->options.reserve);
+  slots = co_fair_share (slot_wants, account->wanted_slots, credit->capacity_slots,
+                         credit->options.reserve);
   tokens = MIN (tokens, credit->capacity_tokens - MIN (credit->capacity_tokens, other_tokens));
   slots = MIN (slots, credit->capacity_slots - MIN (credit->capacity_slots, other_slots));
   cm_invariant (tokens == 0 || tokens + other_tokens <= credit->capacity_tokens,
--- a/coord/credit_leaks.c
+++ b/coord/credit_leaks.c
@@ -45,11 +45,12 @@
    */
   if (state == CO_ENTRY_PRESENT
       || (state == CO_ENTRY_MISSING && co_credit_is_live (credit, account)))
-    account->gone_since = KNL_NEVER;
-  else if (account->gone_since == KNL_NEVER)
-    account->gone_since = now;
-  if (account->gone_since != KNL_NEVER
-      && now - account->gone_since >= (state == CO_ENTRY_MISSING ? MISSING_LEAK_DELAY : LEAK_DELAY))
+    account->absent_since = KNL_NEVER;
+  else if (account->absent_since == KNL_NEVER)
+    account->absent_since = now;
+  if (account->absent_since != KNL_NEVER
+      && now - account->absent_since
+             >= (state == CO_ENTRY_MISSING ? MISSING_LEAK_DELAY : LEAK_DELAY))
     return TRUE;
   return co_credit_is_live (credit, account) && account->unclaimed_since != KNL_NEVER
          && now - account->unclaimed_since >= LEAK_DELAY;
--- a/coord/fair_part.c
+++ b/coord/fair_part.c
@@ -1,7 +1,7 @@
 #include "coord/fair_part.h"
 
 guint64
-co_fair_part (const GArray *wants, guint64 own, guint64 capacity, double reserve)
+co_fair_share (const GArray *wants, guint64 own, guint64 capacity, double reserve)
 {
   guint64 reserved = (guint64)((double)capacity * reserve);
   guint64 remaining = capacity - reserved;
--- a/coord/gossip.c
+++ b/coord/gossip.c
@@ -95,7 +95,7 @@
 }
 
 void
-co_gossip_take (CoGossip *gossip, guint count, guint limit, CoGossipFunc func, gpointer data)
+co_gossip_pick (CoGossip *gossip, guint count, guint max_sends, CoGossipFunc func, gpointer data)
 {
   GPtrArray *batch = g_ptr_array_new ();
   GSequenceIter *iter = g_sequence_get_begin_iter (gossip->items);
@@ -108,7 +108,7 @@
 
       func (item->kind, item->name, data);
       item->sent++;
-      if (item->sent >= limit)
+      if (item->sent >= max_sends)
         remove_item (gossip, item);
       else
         g_sequence_sort_changed (g_hash_table_lookup (gossip->index, item), compare, NULL);
@@ -117,7 +117,7 @@
 }
 
 guint
-co_gossip_waiting (const CoGossip *gossip)
+co_gossip_length (const CoGossip *gossip)
 {
   return g_hash_table_size (gossip->index);
 }
--- a/coord/idem.c
+++ b/coord/idem.c
@@ -160,8 +160,8 @@
 
   if (key->record.state != ALDERTURN__IDEM_STATE__IDEM_STATE_BEGUN)
     return FALSE;
-  return knl_kernel_now (options->kernel) - key->begun_at >= options->attempt_limit
-         || options->attempt_gone (key->record.attempt, options->data);
+  return knl_kernel_now (options->kernel) - key->begun_at >= options->attempt_timeout
+         || options->attempt_ended (key->record.attempt, options->data);
 }
 
 static CoIdemDecision
@@ -182,7 +182,7 @@
     return;
   g_queue_push_head (&idem->recent, key);
   key->recent = idem->recent.head;
-  while (g_hash_table_size (idem->keys) > idem->options.cache_limit && idem->recent.tail != NULL)
+  while (g_hash_table_size (idem->keys) > idem->options.max_cached && idem->recent.tail != NULL)
     {
       CoIdemKey *oldest = g_queue_pop_tail (&idem->recent);
 
--- a/coord/idem_batch.c
+++ b/coord/idem_batch.c
@@ -97,7 +97,7 @@
 
 /* Dequeues the next keys: one `write_alone` key, or as many others as fit into one transaction. */
 static GPtrArray *
-take_batch (CoIdem *idem, GPtrArray *values)
+dequeue_batch (CoIdem *idem, GPtrArray *values)
 {
   GPtrArray *keys = g_ptr_array_new ();
   gsize bytes = 0;
@@ -134,7 +134,7 @@
   while (!g_queue_is_empty (&idem->waiting) && g_list_length (idem->batches) < MAX_BATCHES)
     {
       GPtrArray *values = g_ptr_array_new_with_free_func (free);
-      GPtrArray *keys = take_batch (idem, values);
+      GPtrArray *keys = dequeue_batch (idem, values);
 
       if (keys->len > 0)
         send_batch (idem, keys, values);
--- a/coord/idem_sweep.c
+++ b/coord/idem_sweep.c
@@ -136,7 +136,7 @@
     sweep->sweeping = FALSE;
   else
     sweep->page_timer =
-        knl_timer_start (sweep->options.kernel, sweep->options.page_pause, read_page, sweep);
+        knl_timer_start (sweep->options.kernel, sweep->options.page_delay, read_page, sweep);
 }
 
 static void
--- a/coord/member.c
+++ b/coord/member.c
@@ -39,7 +39,7 @@
 {
   double scale = MAX (1.0, log10 ((double)members->controllers));
 
-  return (KnlTime)((double)members->times.suspicion * scale);
+  return (KnlTime)((double)members->times.suspicion_timeout * scale);
 }
 
 static void suspect_entries_of (CoMembers *members, const char *controller);
@@ -184,13 +184,13 @@
 co_members_purge (CoMembers *members)
 {
   GPtrArray *records = co_member_table_records (members->table);
-  KnlTime limit = now_of (members) - members->times.tombstone;
+  KnlTime cutoff = now_of (members) - members->times.tombstone_ttl;
 
   for (guint i = 0; i < records->len; i++)
     {
       CoMemberRecord *record = g_ptr_array_index (records, i);
 
-      if (record->member.state == DEAD && record->changed < limit)
+      if (record->member.state == DEAD && record->changed < cutoff)
         co_member_table_remove (members->table, record);
     }
   g_ptr_array_unref (records);
@@ -290,11 +290,11 @@
 
   return (CoMemberTimes){
     .period = time_or_default (times->period, KNL_SEC),
-    .direct = time_or_default (times->direct, 400 * KNL_MSEC),
-    .suspicion = time_or_default (times->suspicion, 3 * KNL_SEC),
-    .dead_probe = time_or_default (times->dead_probe, 5 * KNL_SEC),
-    .tombstone = time_or_default (times->tombstone, 7200 * KNL_SEC),
-    .sync = time_or_default (times->sync, 30 * KNL_SEC),
+    .direct_timeout = time_or_default (times->direct_timeout, 400 * KNL_MSEC),
+    .suspicion_timeout = time_or_default (times->suspicion_timeout, 3 * KNL_SEC),
+    .dead_probe_interval = time_or_default (times->dead_probe_interval, 5 * KNL_SEC),
+    .tombstone_ttl = time_or_default (times->tombstone_ttl, 7200 * KNL_SEC),
+    .sync_interval = time_or_default (times->sync_interval, 30 * KNL_SEC),
     .list_grace = time_or_default (times->list_grace, 15 * KNL_SEC),
   };
 }
@@ -321,10 +321,10 @@
   members->suspects = g_ptr_array_new ();
   members->controllers = 1;
   members->self = co_members_merge (members, &own);
-  members->next_sync = now_of (members) + members->times.sync;
+  members->next_sync = now_of (members) + members->times.sync_interval;
   members->prober =
-      co_prober_new (kernel, own.name, members->times.period, members->times.direct,
-                     members->times.dead_probe, &co_members_prober_callbacks, members);
+      co_prober_new (kernel, own.name, members->times.period, members->times.direct_timeout,
+                     members->times.dead_probe_interval, &co_members_prober_callbacks, members);
   return members;
 }
 
--- a/coord/member_frames.c
+++ b/coord/member_frames.c
@@ -60,12 +60,12 @@
 gossip_for (CoMembers *members, const CoMemberRecord *to)
 {
   GossipList gossip = { members, g_ptr_array_new () };
-  guint limit = GOSSIP_FACTOR * (guint)ceil (log2 ((double)members->controllers + 1));
+  guint max_sends = GOSSIP_FACTOR * (guint)ceil (log2 ((double)members->controllers + 1));
 
   g_ptr_array_add (gossip.list, &members->self->member);
   if (to->member.state != LIVE)
     g_ptr_array_add (gossip.list, (gpointer)&to->member);
-  co_gossip_take (members->gossip, GOSSIP_PER_FRAME, limit, add_gossip, &gossip);
+  co_gossip_pick (members->gossip, GOSSIP_PER_FRAME, max_sends, add_gossip, &gossip);
   return gossip.list;
 }
 
@@ -129,9 +129,9 @@
   send_update (members, to, records, TRUE);
   g_ptr_array_unref (records);
   members->last_sync = now_of (members);
-  members->next_sync =
-      members->last_sync
-      + MAX (members->times.sync, SYNC_INTERVAL_PER_RECORD * co_member_table_size (members->table));
+  members->next_sync = members->last_sync
+                       + MAX (members->times.sync_interval,
+                              SYNC_INTERVAL_PER_RECORD * co_member_table_size (members->table));
 }
 
 static gboolean
--- a/coord/subset.c
+++ b/coord/subset.c
@@ -106,14 +106,14 @@
   gboolean home = is_home (self, engine);
   guint wanted = home ? engine->zone->home : engine->zone->spare;
   guint64 own = weight (self, engine);
-  guint better = 0;
+  guint n_higher = 0;
 
-  for (guint i = 0; i < n_entries && better < wanted; i++)
+  for (guint i = 0; i < n_entries && n_higher < wanted; i++)
     {
       if (is_home (&entries[i], engine) == home && weight (&entries[i], engine) > own)
-        better++;
+        n_higher++;
     }
-  return better < wanted;
+  return n_higher < wanted;
 }
 
 static Node *
--- a/coord/suspect.c
+++ b/coord/suspect.c
@@ -134,7 +134,7 @@
 }
 
 static Suspect *
-find_or_make (CoSuspects *suspects, guint64 fingerprint)
+find_or_add (CoSuspects *suspects, guint64 fingerprint)
 {
   Suspect *suspect = g_hash_table_lookup (suspects->by_fingerprint, &fingerprint);
 
@@ -183,7 +183,7 @@
 
   for (size_t i = 0; i < report->n_fingerprints; i++)
     {
-      Suspect *suspect = find_or_make (suspects, report->fingerprints[i]);
+      Suspect *suspect = find_or_add (suspects, report->fingerprints[i]);
       guint before = suspect->count;
 
       if (!add_crash (suspect, crash))
@@ -213,7 +213,7 @@
 
       if (ttl == 0)
         continue;
-      suspect = find_or_make (suspects, entry->fingerprint);
+      suspect = find_or_add (suspects, entry->fingerprint);
       suspect->expires = MAX (suspect->expires, now + ttl);
       if (entry->crashes <= suspect->count)
         continue;
@@ -232,7 +232,7 @@
 apply_row (CoSuspects *suspects, const TbRow *row)
 {
   guint64 fingerprint = g_ascii_strtoull (row->key + strlen (ROW_PREFIX), NULL, 16);
-  Suspect *suspect = find_or_make (suspects, fingerprint);
+  Suspect *suspect = find_or_add (suspects, fingerprint);
   json_t *crashes = json_loads (row->value, 0, NULL);
   guint before = suspect->count;
   guint n_known = 0;
--- a/ctl/commands/set.c
+++ b/ctl/commands/set.c
@@ -18,15 +18,15 @@
 set_parse (ClParser *parser)
 {
   ClChange *change = cl_change_parse (parser);
-  gboolean good;
+  gboolean is_valid;
   Set *set;
 
   if (change == NULL)
     return NULL;
   do
-    good = cl_change_parse_field (change, parser);
-  while (good && cl_parser_accept_symbol (parser, ","));
-  if (!good || !cl_change_parse_expected_revision (change, parser) || change->kind == NULL)
+    is_valid = cl_change_parse_field (change, parser);
+  while (is_valid && cl_parser_accept_symbol (parser, ","));
+  if (!is_valid || !cl_change_parse_expected_revision (change, parser) || change->kind == NULL)
     {
       cl_change_free (change);
       return NULL;
--- a/ctl/main.c
+++ b/ctl/main.c
@@ -84,10 +84,10 @@
 {
   GString *text = g_string_new (NULL);
   char buffer[4096];
-  gsize got;
+  gsize n_read;
 
-  while ((got = fread (buffer, 1, sizeof buffer, stream)) > 0 && text->len <= MAX_INPUT_BYTES)
-    g_string_append_len (text, buffer, (gssize)got);
+  while ((n_read = fread (buffer, 1, sizeof buffer, stream)) > 0 && text->len <= MAX_INPUT_BYTES)
+    g_string_append_len (text, buffer, (gssize)n_read);
   if (ferror (stream))
     *problem = g_strdup (g_strerror (errno));
   else if (text->len > MAX_INPUT_BYTES)
--- a/ctl/session.c
+++ b/ctl/session.c
@@ -9,8 +9,8 @@
 #define HTTP_CONFLICT      409
 #define HTTP_UNPROCESSABLE 422
 
-#define BACKOFF_INITIAL (100 * KNL_MSEC)
-#define BACKOFF_MAX     (2 * KNL_SEC)
+#define MIN_RETRY_DELAY (100 * KNL_MSEC)
+#define MAX_RETRY_DELAY (2 * KNL_SEC)
 
 static const char *
 string_member (const json_t *object, const char *name)
@@ -265,7 +265,7 @@
 static KnlTime
 backoff_after_round (guint round)
 {
-  return MIN (BACKOFF_INITIAL << MIN (round, 10), BACKOFF_MAX);
+  return MIN (MIN_RETRY_DELAY << MIN (round, 10), MAX_RETRY_DELAY);
 }
 
 /*
--- a/entry/dispatch.c
+++ b/entry/dispatch.c
@@ -135,7 +135,7 @@
 {
   const GPtrArray *endpoints = en_fleet_endpoints (core->fleet);
   KnlTime now = knl_kernel_now (core->kernel);
-  KnlTime limit = NO_ENGINE_TIMEOUT;
+  KnlTime timeout = NO_ENGINE_TIMEOUT;
 
   for (guint i = 0; i < endpoints->len; i++)
     {
@@ -147,9 +147,9 @@
       if (en_credits_max_tokens (core->credits, endpoint) >= request->need.tokens)
         return KNL_NEVER;
       if (endpoint->capacity_tokens >= request->need.tokens)
-        limit = NO_HOLDER_TIMEOUT;
+        timeout = NO_HOLDER_TIMEOUT;
     }
-  return limit;
+  return timeout;
 }
 
 /* Ends a request that no engine can run, so that its caller needn't wait for its time limit. */
--- a/entry/drain.c
+++ b/entry/drain.c
@@ -8,7 +8,7 @@
 #include "entry/core_internal.h"
 
 /* Added to the cache time: clocks differ, and other entries see the change with a delay. */
-#define KEEP_MARGIN (2 * KNL_SEC)
+#define CACHE_TTL_MARGIN (2 * KNL_SEC)
 
 /* Minimum time for which requests are refused, with the new list of entries, if nothing runs. */
 #define MIN_REFUSE_TIME (500 * KNL_MSEC)
@@ -78,7 +78,7 @@
   cm_log (CM_LOG_NOTICE, "drain-leaving", "i", "in_flight",
           (gint64)g_hash_table_size (core->requests));
   en_core_send_status (core);
-  core->drain_timer = knl_timer_start (core->kernel, core->settings.entries_ttl + KEEP_MARGIN,
+  core->drain_timer = knl_timer_start (core->kernel, core->settings.entries_ttl + CACHE_TTL_MARGIN,
                                        on_lists_expired, core);
 }
 
--- a/entry/engine.c
+++ b/entry/engine.c
@@ -98,9 +98,9 @@
  * fixed costs dominate their time.
  */
 static void
-update_prefill_rate (EnEndpoint *endpoint, guint64 tokens, KnlTime taken)
+update_prefill_rate (EnEndpoint *endpoint, guint64 tokens, KnlTime duration)
 {
-  double rate = (double)tokens * (double)KNL_SEC / (double)MAX (taken, KNL_MSEC);
+  double rate = (double)tokens * (double)KNL_SEC / (double)MAX (duration, KNL_MSEC);
 
   if (rate >= endpoint->prefill_rate)
     endpoint->prefill_rate = rate;
@@ -230,16 +230,16 @@
   CmBackoff backoff = { .first = MIN_RETRY_DELAY,
                         .limit = MAX_RETRY_DELAY,
                         .retries = request->attempts };
-  gboolean again;
+  gboolean may_retry;
   EnError error;
 
   if (en_core_refuse_quarantined (core, request))
     return;
-  again = en_core_may_retry (core, request, decision);
-  cm_series_add (
-      cm_metric_series (core->meters->retries, request->service, again ? "made" : "refused", NULL),
-      1);
-  if (again)
+  may_retry = en_core_may_retry (core, request, decision);
+  cm_series_add (cm_metric_series (core->meters->retries, request->service,
+                                   may_retry ? "made" : "refused", NULL),
+                 1);
+  if (may_retry)
     {
       request->retry_timer = knl_timer_start (
           core->kernel, cm_backoff_next (&backoff, core->kernel), on_retry_due, request);
--- a/entry/front.c
+++ b/entry/front.c
@@ -128,7 +128,7 @@
 
 /* Reads the headers common to all submissions. Returns NULL, or an error message. */
 static const char *
-read_headers (HtCall *call, EnSubmission *submission)
+parse_headers (HtCall *call, EnSubmission *submission)
 {
   const HtMessage *request = ht_call_request (call);
   const char *timeout = ht_message_get (request, "alderturn-timeout-ms");
@@ -155,7 +155,7 @@
 }
 
 static const char *
-read_completion (json_t *body, EnSubmission *submission, EnAnswerForm *form)
+parse_completion (json_t *body, EnSubmission *submission, EnAnswerForm *form)
 {
   json_t *prompt = json_object_get (body, "prompt");
   json_t *max_tokens = json_object_get (body, "max_tokens");
@@ -186,10 +186,10 @@
   json_t *body = json_loadb (text->str, text->len, 0, NULL);
   EnSubmission submission = { 0 };
   EnAnswerForm form;
-  const char *problem = read_headers (call, &submission);
+  const char *problem = parse_headers (call, &submission);
 
   if (problem == NULL)
-    problem = read_completion (body, &submission, &form);
+    problem = parse_completion (body, &submission, &form);
   if (problem != NULL)
     refuse (call, EN_ERROR_BAD_REQUEST, problem);
   else
@@ -214,10 +214,11 @@
 serve_plain (EnFront *self, HtCall *call, const char *path)
 {
   const HtMessage *request = ht_call_request (call);
-  const char *rest = request_target (request) + strlen (SERVICE_PREFIX);
-  gsize name_length = strcspn (rest, "/?");
-  char *name = g_strndup (rest, name_length);
-  char *target = g_strconcat (rest[name_length] == '/' ? "" : "/", rest + name_length, NULL);
+  const char *service_path = request_target (request) + strlen (SERVICE_PREFIX);
+  gsize name_length = strcspn (service_path, "/?");
+  char *name = g_strndup (service_path, name_length);
+  char *target =
+      g_strconcat (service_path[name_length] == '/' ? "" : "/", service_path + name_length, NULL);
   EnSubmission submission = {
     .service = name,
     .method = request->method,
@@ -226,7 +227,7 @@
     .body = request->body->str,
     .body_bytes = request->body->len,
   };
-  const char *problem = read_headers (call, &submission);
+  const char *problem = parse_headers (call, &submission);
 
   if (problem != NULL)
     refuse (call, EN_ERROR_BAD_REQUEST, problem);
--- a/entry/main.c
+++ b/entry/main.c
@@ -127,7 +127,7 @@
     .max_in_flight = (guint64)settings->max_in_flight,
     .max_queued = (guint64)settings->max_queued,
     .max_new_tokens = (guint64)settings->max_new_tokens,
-    .max_limit = settings->max_limit_ms * KNL_MSEC,
+    .max_timeout = settings->max_limit_ms * KNL_MSEC,
     .entries_ttl = settings->keep_ms * KNL_MSEC,
   };
 
--- a/entry/reserve.c
+++ b/entry/reserve.c
@@ -12,9 +12,9 @@
  * as both request it. The time for which an entry tries, and the delay before it
  * tries again, are random, so that one of them remains and is granted everything.
  */
-#define ACQUIRE_TIMEOUT_MIN (3 * KNL_SEC)
-#define ACQUIRE_TIMEOUT_MAX (15 * KNL_SEC)
-#define ACQUIRE_PAUSE_MAX   (4 * KNL_SEC)
+#define MIN_ACQUIRE_TIMEOUT     (3 * KNL_SEC)
+#define MAX_ACQUIRE_TIMEOUT     (15 * KNL_SEC)
+#define MAX_ACQUIRE_RETRY_DELAY (4 * KNL_SEC)
 
 /* The engines in this entry's order of preference; each retry starts with another one. */
 static GPtrArray *
@@ -57,7 +57,7 @@
   EnRequest *request = data;
   EnCore *core = request->core;
   EnEndpoint *endpoint = en_fleet_find (core->fleet, last_endpoint);
-  EnLoss gone = { .kind = POL_LOSS_UNKNOWN, .detail = "the last engine is gone" };
+  EnLoss engine_loss = { .kind = POL_LOSS_UNKNOWN, .detail = "the last engine is gone" };
 
   if (imports != NULL)
     en_request_note (request, knl_kernel_now (core->kernel), "parts-held", "%s", imports);
@@ -67,7 +67,7 @@
       return;
     }
   en_charge_return (charge, core->fleet);
-  en_core_handle_loss (core, request, &gone);
+  en_core_handle_loss (core, request, &engine_loss);
 }
 
 static void
@@ -116,7 +116,7 @@
   core->acquiring = 0;
   request->reserve_attempts++;
   request->next_reserve_at =
-      now + g_rand_int_range (knl_kernel_rand (core->kernel), 0, ACQUIRE_PAUSE_MAX);
+      now + g_rand_int_range (knl_kernel_rand (core->kernel), 0, MAX_ACQUIRE_RETRY_DELAY);
   en_request_note (request, now, "reservation-given-back", NULL);
 }
 
@@ -154,7 +154,7 @@
     {
       request->reservation = plan_reservation (core, request);
       request->acquire_timeout = g_rand_int_range (knl_kernel_rand (core->kernel),
-                                                   ACQUIRE_TIMEOUT_MIN, ACQUIRE_TIMEOUT_MAX);
+                                                   MIN_ACQUIRE_TIMEOUT, MAX_ACQUIRE_TIMEOUT);
     }
   if (request->reservation == NULL)
     return EN_RESERVE_IMPOSSIBLE;
--- a/entry/submit.c
+++ b/entry/submit.c
@@ -208,7 +208,7 @@
 
   if (timeout <= 0)
     timeout = co_object_integer (check->service, "timeout-ms") * KNL_MSEC;
-  return MIN (timeout, check->core->settings.max_limit);
+  return MIN (timeout, check->core->settings.max_timeout);
 }
 
 /* Total memory of the engines that may run the request; 0 while any engine's size is unknown. */
--- a/entry/subset.c
+++ b/entry/subset.c
@@ -47,7 +47,7 @@
 }
 
 static CoNode *
-entry_places_new (const GPtrArray *entries, guint *n)
+entry_nodes_new (const GPtrArray *entries, guint *n)
 {
   CoNode *nodes = g_new0 (CoNode, entries->len + 1);
 
@@ -100,7 +100,7 @@
 
   if (endpoints->len > CO_SUBSET_SIZE)
     {
-      nodes = entry_places_new (entries, &n_entries);
+      nodes = entry_nodes_new (entries, &n_entries);
       g_hash_table_iter_init (&iter, groups);
       while (g_hash_table_iter_next (&iter, NULL, &group))
         choose_in_group (group, &own, nodes, n_entries,
--- a/entry/uplink.c
+++ b/entry/uplink.c
@@ -9,7 +9,7 @@
 #define MAX_RETRY_DELAY (1 * KNL_SEC)
 
 /* Interval of attempts to return to the local controller while another one is in use. */
-#define LOCAL_INTERVAL (2 * KNL_SEC)
+#define LOCAL_RETRY_INTERVAL (2 * KNL_SEC)
 
 typedef struct
 {
@@ -55,7 +55,7 @@
   cm_backoff_reset (&self->backoff);
   cm_log (CM_LOG_INFO, "controller-link-open", "s", "controller", peer->instance, "b", "local",
           self->link_is_local);
-  schedule (self, LOCAL_INTERVAL);
+  schedule (self, LOCAL_RETRY_INTERVAL);
   self->events->on_up (self->data);
 }
 
@@ -78,7 +78,7 @@
       self->opening_link = NULL;
       if (self->opening_is_local)
         self->local_failed = TRUE;
-      schedule (self, self->link != NULL ? LOCAL_INTERVAL
+      schedule (self, self->link != NULL ? LOCAL_RETRY_INTERVAL
                                          : cm_backoff_next (&self->backoff, self->kernel));
     }
   else if (link == self->link)
--- a/include/controller/state.h
+++ b/include/controller/state.h
@@ -57,7 +57,7 @@
 };
 
 /** Creates the modules; on return all pointers above are set. */
-void ct_controller_start_parts (CtController *controller);
+void ct_controller_create_modules (CtController *controller);
 
 /** Handlers of links that open or close, and of frames received. */
 extern const CtLinksEvents ct_controller_link_events;
--- a/include/coord/config_store.h
+++ b/include/coord/config_store.h
@@ -69,7 +69,7 @@
   CoConfig *replica;
   KnlTime poll_interval; /**< between polls by readers and by processes that aren't ready */
   KnlTime idle_interval; /**< between polls by all other processes */
-  KnlTime apply_limit;   /**< an apply is abandoned after this time */
+  KnlTime apply_timeout; /**< an apply is abandoned after this time */
   void (*on_ready) (gpointer data); /**< called once, when the replica becomes ready; or NULL */
   gpointer data;
 } CoConfigStoreOptions;
@@ -90,7 +90,7 @@
 void co_config_store_note_revision (CoConfigStore *store, guint64 revision);
 
 /** Notes that a peer which was itself ready has sent its configuration. */
-void co_config_store_synced_by_peer (CoConfigStore *store);
+void co_config_store_note_peer_sync (CoConfigStore *store);
 
 /**
  * TRUE when the replica has been compared with the table or with a ready peer, and
--- a/include/coord/credit_private.h
+++ b/include/coord/credit_private.h
@@ -24,7 +24,7 @@
   KnlTime queued_since;    /* when it joined the queue for `largest` */
   KnlTime last_seen_at;    /* time of its last request; -1: none */
   KnlTime unclaimed_since; /* when it stopped claiming anything; KNL_NEVER: it claims something */
-  KnlTime gone_since;     /* since when it is replaced, or missing and silent; KNL_NEVER: neither */
+  KnlTime absent_since;   /* since when it is replaced, or missing and silent; KNL_NEVER: neither */
   guint64 running_tokens; /* according to the engine's last report */
   guint running_slots;
 } CoCreditAccount;
@@ -49,9 +49,9 @@
 
 KnlTime co_credit_now (const CoCredit *credit);
 
-/** The account of one process of an entry, created if `make`; NULL when there is none. */
+/** The account of one process of an entry, created if `create`; NULL when there is none. */
 CoCreditAccount *
-co_credit_account (CoCredit *credit, const char *entry, guint64 incarnation, gboolean make);
+co_credit_account (CoCredit *credit, const char *entry, guint64 incarnation, gboolean create);
 
 /** Whether the account's process has sent a request recently. */
 gboolean co_credit_is_live (const CoCredit *credit, const CoCreditAccount *account);
--- a/include/coord/fair_part.h
+++ b/include/coord/fair_part.h
@@ -11,4 +11,4 @@
  * share. The fraction `reserve` of the capacity (0 to 1), and capacity that is
  * not in demand, are divided equally among all.
  */
-guint64 co_fair_part (const GArray *wants, guint64 own, guint64 capacity, double reserve);
+guint64 co_fair_share (const GArray *wants, guint64 own, guint64 capacity, double reserve);
--- a/include/coord/gossip.h
+++ b/include/coord/gossip.h
@@ -21,9 +21,10 @@
 
 /**
  * Calls `func` for the next members to send, up to `count`, and counts one send
- * for each. A member that has been sent `limit` times is removed.
+ * for each. A member that has been sent `max_sends` times is removed.
  */
-void co_gossip_take (CoGossip *gossip, guint count, guint limit, CoGossipFunc func, gpointer data);
+void
+co_gossip_pick (CoGossip *gossip, guint count, guint max_sends, CoGossipFunc func, gpointer data);
 
 /** Number of queued members. */
-guint co_gossip_waiting (const CoGossip *gossip);
+guint co_gossip_length (const CoGossip *gossip);
--- a/include/coord/idem.h
+++ b/include/coord/idem.h
@@ -17,20 +17,20 @@
 
 /** TRUE when the process that made this attempt id has certainly ended. A wrong result can't
  * make a request run twice. */
-typedef gboolean (*CoAttemptGoneFunc) (const char *attempt, gpointer data);
+typedef gboolean (*CoAttemptEndedFunc) (const char *attempt, gpointer data);
 
 typedef struct
 {
   KnlKernel *kernel;
   TbTable *platform;
   CoLeases *leases;
-  KnlTime batch_delay;    /**< time that a write waits for others, to share a transaction */
-  KnlTime begin_timeout;  /**< a begin without a durable record after this time is refused */
-  KnlTime finish_timeout; /**< a finish that isn't durable after this time is reported as such */
-  KnlTime attempt_limit;  /**< a record that stays begun for this time becomes unknown */
-  gsize answer_bytes;     /**< longer answers aren't stored */
-  guint cache_limit;      /**< records in memory; beyond it, idle ones are evicted */
-  CoAttemptGoneFunc attempt_gone;
+  KnlTime batch_delay;     /**< time that a write waits for others, to share a transaction */
+  KnlTime begin_timeout;   /**< a begin without a durable record after this time is refused */
+  KnlTime finish_timeout;  /**< a finish that isn't durable after this time is reported as such */
+  KnlTime attempt_timeout; /**< a record that stays begun for this time becomes unknown */
+  gsize answer_bytes;      /**< longer answers aren't stored */
+  guint max_cached;        /**< records in memory; beyond it, idle ones are evicted */
+  CoAttemptEndedFunc attempt_ended;
   gpointer data;
 } CoIdemOptions;
 
--- a/include/coord/idem_sweep.h
+++ b/include/coord/idem_sweep.h
@@ -22,7 +22,7 @@
   CoIdem *idem;       /**< receives the current epoch */
   KnlTime epoch_time; /**< minimum duration of an epoch */
   guint64 keep;       /**< minimum number of epochs that a record is kept */
-  KnlTime page_pause; /**< between two pages of a sweep */
+  KnlTime page_delay; /**< between two pages of a sweep */
 } CoIdemSweepOptions;
 
 CoIdemSweep *co_idem_sweep_new (const CoIdemSweepOptions *options);
--- a/include/coord/member.h
+++ b/include/coord/member.h
@@ -42,14 +42,14 @@
 /** Times of the protocol; a field that is 0 selects its default. */
 typedef struct
 {
-  KnlTime period; /**< between two probes sent by this member; default 1 s */
-  KnlTime direct; /**< wait for an ack before indirect probes are sent; default 400 ms */
+  KnlTime period;         /**< between two probes sent by this member; default 1 s */
+  KnlTime direct_timeout; /**< wait for an ack before indirect probes are sent; default 400 ms */
   /** From suspect to dead; default 3 s, grows with log10 of the number of controllers. */
-  KnlTime suspicion;
-  KnlTime dead_probe; /**< between two probes of dead members; default 5 s */
-  KnlTime tombstone;  /**< how long dead members are kept; default 2 h */
+  KnlTime suspicion_timeout;
+  KnlTime dead_probe_interval; /**< between two probes of dead members; default 5 s */
+  KnlTime tombstone_ttl;       /**< how long dead members are kept; default 2 h */
   /** Between two full syncs; default 30 s, grows with the number of records. */
-  KnlTime sync;
+  KnlTime sync_interval;
   KnlTime list_grace; /**< how long an endpoint may be missing from the list; default 15 s */
 } CoMemberTimes;
 
--- a/include/entry/core.h
+++ b/include/entry/core.h
@@ -27,7 +27,7 @@
   guint64 max_in_flight;  /**< limit on all requests at this entry */
   guint64 max_queued;     /**< limit on requests that wait for an engine */
   guint64 max_new_tokens; /**< largest max_tokens that a caller may request */
-  KnlTime max_limit;      /**< longer time limits of callers are reduced to it */
+  KnlTime max_timeout;    /**< longer time limits of callers are reduced to it */
   KnlTime entries_ttl;    /**< how long callers may cache the answer to GET /v1/entries */
 } EnCoreSettings;
 
--- a/tests/fakes/deployment.c
+++ b/tests/fakes/deployment.c
@@ -20,7 +20,7 @@
     .max_in_flight = 100000,
     .max_queued = 100000,
     .max_new_tokens = 100000,
-    .max_limit = 3600 * KNL_SEC,
+    .max_timeout = 3600 * KNL_SEC,
     .entries_ttl = KEEP_DURATION,
   };
 
--- a/tests/fakes/member_cluster.c
+++ b/tests/fakes/member_cluster.c
@@ -11,10 +11,10 @@
   FkNode *to;
   guint8 *bytes;
   gsize count;
-} Letter;
+} FrameInTransit;
 
 static FkNode *
-node_named (FkCluster *cluster, const char *name)
+find_node (FkCluster *cluster, const char *name)
 {
   for (guint i = 0; i < cluster->count; i++)
     {
@@ -27,52 +27,52 @@
 static void
 deliver (gpointer data)
 {
-  Letter *letter = data;
-  Alderturn__Frame *frame = alderturn__frame__unpack (NULL, letter->count, letter->bytes);
-  CoMembers *members = letter->to->members;
+  FrameInTransit *in_transit = data;
+  Alderturn__Frame *frame = alderturn__frame__unpack (NULL, in_transit->count, in_transit->bytes);
+  CoMembers *members = in_transit->to->members;
 
   g_assert (frame != NULL);
   if (members != NULL && frame->body_case == ALDERTURN__FRAME__BODY_PROBE)
-    co_members_handle_probe (members, letter->from->name, frame->probe);
+    co_members_handle_probe (members, in_transit->from->name, frame->probe);
   else if (members != NULL && frame->body_case == ALDERTURN__FRAME__BODY_PROBE_ACK)
-    co_members_handle_ack (members, letter->from->name, frame->probe_ack);
+    co_members_handle_ack (members, in_transit->from->name, frame->probe_ack);
   else if (members != NULL)
-    co_members_handle_update (members, letter->from->name, frame->member_update);
+    co_members_handle_update (members, in_transit->from->name, frame->member_update);
   alderturn__frame__free_unpacked (frame, NULL);
-  g_free (letter->bytes);
-  g_free (letter);
+  g_free (in_transit->bytes);
+  g_free (in_transit);
 }
 
 static gboolean
 path_is_broken (FkCluster *cluster, FkNode *a, FkNode *b)
 {
-  if (cluster->regions_cut && a->region != b->region)
+  if (cluster->regions_partitioned && a->region != b->region)
     return TRUE;
-  return ((int)a->index == cluster->broken_from && (int)b->index == cluster->broken_to)
-         || ((int)b->index == cluster->broken_from && (int)a->index == cluster->broken_to);
+  return ((int)a->index == cluster->broken_path_a && (int)b->index == cluster->broken_path_b)
+         || ((int)b->index == cluster->broken_path_a && (int)a->index == cluster->broken_path_b);
 }
 
 static void
 send_frame (const Alderturn__Member *to, const Alderturn__Frame *frame, gpointer data)
 {
   FkNode *from = data;
-  FkNode *receiver = node_named (from->cluster, to->name);
-  Letter *letter;
+  FkNode *receiver = find_node (from->cluster, to->name);
+  FrameInTransit *in_transit;
 
   if (frame->body_case == ALDERTURN__FRAME__BODY_PROBE)
     from->probes++;
   if (receiver == NULL || receiver->members == NULL || receiver->stopped
       || path_is_broken (from->cluster, from, receiver))
     return;
-  letter = g_new0 (Letter, 1);
-  letter->from = from;
-  letter->to = receiver;
-  letter->count = alderturn__frame__get_packed_size (frame);
-  letter->bytes = g_malloc (letter->count);
-  alderturn__frame__pack (frame, letter->bytes);
+  in_transit = g_new0 (FrameInTransit, 1);
+  in_transit->from = from;
+  in_transit->to = receiver;
+  in_transit->count = alderturn__frame__get_packed_size (frame);
+  in_transit->bytes = g_malloc (in_transit->count);
+  alderturn__frame__pack (frame, in_transit->bytes);
   from->cluster->frames++;
-  from->cluster->bytes += letter->count;
-  knl_timer_start (receiver->kernel, FK_CLUSTER_DELAY, deliver, letter);
+  from->cluster->bytes += in_transit->count;
+  knl_timer_start (receiver->kernel, FK_CLUSTER_DELAY, deliver, in_transit);
 }
 
 Alderturn__Member
@@ -90,12 +90,12 @@
 }
 
 static void
-count_blame (const Alderturn__Member *member, gpointer data)
+count_failures (const Alderturn__Member *member, gpointer data)
 {
   FkNode *node = data;
 
-  node->blamed += member->state == SUSPECT || member->state == DEAD;
-  node->buried += member->state == DEAD;
+  node->failures_seen += member->state == SUSPECT || member->state == DEAD;
+  node->deaths_seen += member->state == DEAD;
 }
 
 void
@@ -106,7 +106,7 @@
   Alderturn__Member **pointers = g_new0 (Alderturn__Member *, node->cluster->count);
 
   node->members = co_members_new (node->kernel, &self, NULL, send_frame, node);
-  co_members_observe (node->members, count_blame, node);
+  co_members_observe (node->members, count_failures, node);
   for (guint i = 0; i < node->cluster->count; i++)
     {
       list[i] = fk_member (CONTROLLER, node->cluster->nodes[i].name, 0);
@@ -130,8 +130,8 @@
   FkCluster *cluster = g_new0 (FkCluster, 1);
 
   cluster->count = count;
-  cluster->broken_from = -1;
-  cluster->broken_to = -1;
+  cluster->broken_path_a = -1;
+  cluster->broken_path_b = -1;
   cluster->clock = knl_paused_clock_new ();
   cluster->nodes = g_new0 (FkNode, count);
   for (guint i = 0; i < count; i++)
@@ -178,35 +178,35 @@
   Alderturn__MemberKind kind;
   const char *name;
   Alderturn__MemberState state;
-} Wanted;
+} StateCondition;
 
 static gboolean
-all_agree (gpointer data)
+all_have_state (gpointer data)
 {
-  Wanted *wanted = data;
+  StateCondition *condition = data;
 
-  for (guint i = 0; i < wanted->cluster->count; i++)
+  for (guint i = 0; i < condition->cluster->count; i++)
     {
-      FkNode *node = &wanted->cluster->nodes[i];
+      FkNode *node = &condition->cluster->nodes[i];
 
       if (node->members != NULL
-          && fk_node_state (node, wanted->kind, wanted->name) != wanted->state)
+          && fk_node_state (node, condition->kind, condition->name) != condition->state)
         return FALSE;
     }
   return TRUE;
 }
 
 KnlTime
-fk_cluster_agree (FkCluster *cluster,
-                  Alderturn__MemberKind kind,
-                  const char *name,
-                  Alderturn__MemberState state,
-                  KnlTime limit)
+fk_cluster_advance_to_state (FkCluster *cluster,
+                             Alderturn__MemberKind kind,
+                             const char *name,
+                             Alderturn__MemberState state,
+                             KnlTime limit)
 {
-  Wanted wanted = { cluster, kind, name, state };
+  StateCondition condition = { cluster, kind, name, state };
   KnlTime start = knl_paused_clock_now (cluster->clock);
 
-  if (!knl_paused_clock_advance_until (cluster->clock, limit, all_agree, &wanted))
+  if (!knl_paused_clock_advance_until (cluster->clock, limit, all_have_state, &condition))
     return -1;
   return knl_paused_clock_now (cluster->clock) - start;
 }
@@ -218,9 +218,9 @@
 
   for (guint i = 0; i < cluster->count; i++)
     {
-      Wanted wanted = { cluster, CONTROLLER, cluster->nodes[i].name, LIVE };
+      StateCondition condition = { cluster, CONTROLLER, cluster->nodes[i].name, LIVE };
 
-      if (!all_agree (&wanted))
+      if (!all_have_state (&condition))
         return FALSE;
     }
   return TRUE;
--- a/tests/fakes/member_cluster.h
+++ b/tests/fakes/member_cluster.h
@@ -24,8 +24,8 @@
   gboolean stopped;   /* frames sent to it are dropped */
   guint region;
   guint64 probes;
-  guint blamed; /* number of times that a member became suspect or dead in its records */
-  guint buried; /* number of times that a member became dead in its records */
+  guint failures_seen; /* number of times that a member became suspect or dead in its records */
+  guint deaths_seen;   /* number of times that a member became dead in its records */
 } FkNode;
 
 struct FkCluster
@@ -33,9 +33,9 @@
   KnlPausedClock *clock;
   FkNode *nodes;
   guint count;
-  gboolean regions_cut; /* no frame passes between regions 0 and 1 */
-  int broken_from;      /* indexes of two nodes between which no frame passes; -1: none */
-  int broken_to;
+  gboolean regions_partitioned; /* no frame passes between regions 0 and 1 */
+  int broken_path_a;            /* indexes of two nodes between which no frame passes; -1: none */
+  int broken_path_b;
   guint64 frames;
   guint64 bytes;
 };
@@ -62,11 +62,11 @@
 
 /** Advances until all running nodes have the member in `state`. Returns the elapsed time, or -1 if
  * that isn't so within `limit`. */
-KnlTime fk_cluster_agree (FkCluster *cluster,
-                          Alderturn__MemberKind kind,
-                          const char *name,
-                          Alderturn__MemberState state,
-                          KnlTime limit);
+KnlTime fk_cluster_advance_to_state (FkCluster *cluster,
+                                     Alderturn__MemberKind kind,
+                                     const char *name,
+                                     Alderturn__MemberState state,
+                                     KnlTime limit);
 
 /** Whether all running nodes have all controllers as live; for knl_paused_clock_advance_until(). */
 gboolean fk_cluster_all_live (gpointer cluster);
--- a/tests/unit/co_config_store_test.c
+++ b/tests/unit/co_config_store_test.c
@@ -33,7 +33,7 @@
     .platform = fixture->daemons.platforms[i],
     .poll_interval = KNL_SEC,
     .idle_interval = 15 * KNL_SEC,
-    .apply_limit = 5 * KNL_SEC,
+    .apply_timeout = 5 * KNL_SEC,
   };
 
   options.replica = fixture->configs[i] = co_config_new ();
@@ -82,17 +82,17 @@
 static void
 apply (Fixture *fixture, guint i, const char *operation, const char *changes, Outcome *outcome)
 {
-  CoApply what = {
+  CoApply request = {
     .operation = operation,
     .by = i == 0 ? "ann" : "bob",
     .changes = json_loads (changes, 0, NULL),
   };
 
-  CU_ASSERT_PTR_NOT_NULL_FATAL (what.changes);
+  CU_ASSERT_PTR_NOT_NULL_FATAL (request.changes);
   *outcome = (Outcome){ 0 };
-  co_config_store_apply (fixture->stores[i], &what, on_applied, outcome);
+  co_config_store_apply (fixture->stores[i], &request, on_applied, outcome);
   CU_ASSERT_EQUAL (outcome->calls, 0);
-  json_decref (what.changes);
+  json_decref (request.changes);
 }
 
 static void
@@ -125,7 +125,7 @@
  * a write that doesn't check the revision it is based on would undo the other.
  */
 static void
-test_of_racing_operators_one_wins_and_the_other_learns_of_it (void)
+test_racing_applies_are_ordered_and_a_stale_one_conflicts (void)
 {
   static const struct
   {
@@ -194,7 +194,7 @@
 }
 
 static void
-test_an_apply_that_can_not_reach_the_table_says_what_it_knows (void)
+test_an_apply_without_the_table_ends_as_not_run_or_unknown (void)
 {
   static const struct
   {
@@ -230,7 +230,7 @@
  * then the table becomes unreachable. The write may still take effect: unknown.
  */
 static void
-test_a_write_on_its_way_is_not_told_as_not_run (void)
+test_a_write_in_transit_is_not_reported_as_not_run (void)
 {
   guint unknown = 0;
 
@@ -263,7 +263,7 @@
  * revision 5: it must not become ready below that revision.
  */
 static void
-test_a_node_is_ready_only_at_the_highest_revision_it_heard_of (void)
+test_an_instance_is_ready_only_at_the_highest_known_revision (void)
 {
   g_auto (Fixture) fixture = fixture_new ();
   Outcome outcome;
@@ -284,7 +284,7 @@
   CU_ASSERT_TRUE (co_config_store_ready (fixture.stores[1]));
   CU_ASSERT_FALSE (co_config_store_ready (fixture.stores[2]));
   co_config_store_note_revision (fixture.stores[2], 5);
-  co_config_store_synced_by_peer (fixture.stores[2]);
+  co_config_store_note_peer_sync (fixture.stores[2]);
   CU_ASSERT_FALSE (co_config_store_ready (fixture.stores[2]));
   push = co_config_push_since (fixture.configs[1], 0);
   co_config_apply (fixture.configs[2], push);
@@ -457,15 +457,15 @@
 
 static const SuiteCase cases[] = {
   { "racing applies are ordered, and a stale one gets a conflict",
-    test_of_racing_operators_one_wins_and_the_other_learns_of_it },
+    test_racing_applies_are_ordered_and_a_stale_one_conflicts },
   { "a lost answer is resolved and an operation counts once",
     test_a_lost_answer_is_resolved_and_an_operation_counts_once },
   { "an apply that can't reach the table ends as not run or unknown",
-    test_an_apply_that_can_not_reach_the_table_says_what_it_knows },
+    test_an_apply_without_the_table_ends_as_not_run_or_unknown },
   { "a write in transit is not reported as not run",
-    test_a_write_on_its_way_is_not_told_as_not_run },
+    test_a_write_in_transit_is_not_reported_as_not_run },
   { "an instance is ready only at the highest known revision",
-    test_a_node_is_ready_only_at_the_highest_revision_it_heard_of },
+    test_an_instance_is_ready_only_at_the_highest_known_revision },
   { "random operators and faults", test_random_operators_and_faults },
   { "findings by table", test_findings_by_table },
 };
--- a/tests/unit/co_credit_test.c
+++ b/tests/unit/co_credit_test.c
@@ -36,14 +36,14 @@
 static void
 report (Fixture *fixture, const EpRunning *running, guint n_running)
 {
-  EpReport what = {
+  EpReport engine_report = {
     .capacity_tokens = CAPACITY,
     .capacity_slots = SLOTS,
     .running = running,
     .n_running = n_running,
   };
 
-  co_credit_report (fixture->credit, &what);
+  co_credit_report (fixture->credit, &engine_report);
 }
 
 static Fixture *
@@ -97,7 +97,7 @@
 }
 
 static void
-test_parts_by_table (void)
+test_shares_by_table (void)
 {
   static const struct
   {
@@ -235,7 +235,7 @@
  * ledger that counts only grants would miss the requests that the engine still lists.
  */
 static void
-test_a_dead_entrys_memory_counts_until_it_is_given_back (void)
+test_a_dead_entrys_memory_counts_until_it_is_freed (void)
 {
   g_autoptr (Fixture) fixture = fixture_new (0.0);
 
@@ -307,7 +307,7 @@
  * a prompt; with an even division no entry gets enough, and none returns its share.
  */
 static void
-test_large_requests_have_turns (void)
+test_large_requests_are_granted_in_queue_order (void)
 {
   enum
   {
@@ -340,12 +340,12 @@
 }
 
 static const SuiteCase cases[] = {
-  { "large requests are granted in queue order", test_large_requests_have_turns },
-  { "shares by table", test_parts_by_table },
+  { "large requests are granted in queue order", test_large_requests_are_granted_in_queue_order },
+  { "shares by table", test_shares_by_table },
   { "entries together never hold more than the engine has",
     test_entries_together_never_hold_more_than_the_engine_has },
   { "a dead entry's memory counts until it is freed",
-    test_a_dead_entrys_memory_counts_until_it_is_given_back },
+    test_a_dead_entrys_memory_counts_until_it_is_freed },
   { "leaks by table", test_leaks_by_table },
 };
 
--- a/tests/unit/co_housekeeping_test.c
+++ b/tests/unit/co_housekeeping_test.c
@@ -21,7 +21,7 @@
 } Fixture;
 
 static gboolean
-never_gone (const char *attempt, gpointer data)
+never_ended (const char *attempt, gpointer data)
 {
   return FALSE;
 }
@@ -36,15 +36,15 @@
   };
   CoConfigStoreOptions store = { .poll_interval = KNL_SEC,
                                  .idle_interval = KNL_SEC,
-                                 .apply_limit = 5 * KNL_SEC };
+                                 .apply_timeout = 5 * KNL_SEC };
   CoConfigCompactOptions compact = { .keep = KEEP, .interval = 10 * KNL_SEC };
   CoIdemOptions idem = { .batch_delay = KNL_MSEC,
                          .begin_timeout = KNL_SEC,
                          .finish_timeout = KNL_SEC,
-                         .attempt_limit = KNL_NEVER,
-                         .cache_limit = 1,
-                         .attempt_gone = never_gone };
-  CoIdemSweepOptions sweep = { .epoch_time = EPOCH, .keep = 48, .page_pause = KNL_SEC };
+                         .attempt_timeout = KNL_NEVER,
+                         .max_cached = 1,
+                         .attempt_ended = never_ended };
+  CoIdemSweepOptions sweep = { .epoch_time = EPOCH, .keep = 48, .page_delay = KNL_SEC };
 
   daemons_init (&fixture->daemons, 1, 1);
   leases.kernel = store.kernel = compact.kernel = idem.kernel = sweep.kernel =
@@ -101,7 +101,7 @@
   g_autoptr (Fixture) fixture = fixture_new ();
   CoConfigStoreOptions options = { .poll_interval = KNL_SEC,
                                    .idle_interval = KNL_SEC,
-                                   .apply_limit = 5 * KNL_SEC };
+                                   .apply_timeout = 5 * KNL_SEC };
   CoConfigStore *replica_store;
 
   options.kernel = fixture->daemons.kernels[0];
@@ -115,12 +115,12 @@
           "{\"op\":\"set\",\"kind\":\"model\",\"name\":\"b%u\"},"
           "{\"op\":\"remove\",\"kind\":\"model\",\"name\":\"b%u\"}]",
           i, i, i);
-      CoApply what = { .operation = operation, .by = "ann" };
+      CoApply request = { .operation = operation, .by = "ann" };
 
-      what.changes = json_loads (text, 0, NULL);
-      co_config_store_apply (fixture->store, &what, on_applied, NULL);
+      request.changes = json_loads (text, 0, NULL);
+      co_config_store_apply (fixture->store, &request, on_applied, NULL);
       knl_paused_clock_advance (fixture->daemons.clock, KNL_SEC);
-      json_decref (what.changes);
+      json_decref (request.changes);
     }
   knl_paused_clock_advance (fixture->daemons.clock, 30 * KNL_SEC);
   CU_ASSERT_EQUAL (*co_config_revision (fixture->config), 180);
@@ -148,13 +148,13 @@
 static Alderturn__IdemVerdict
 begin (Fixture *fixture, const char *key, const char *attempt)
 {
-  Alderturn__IdemBegin what = ALDERTURN__IDEM_BEGIN__INIT;
+  Alderturn__IdemBegin request = ALDERTURN__IDEM_BEGIN__INIT;
   Alderturn__IdemVerdict verdict = ALDERTURN__IDEM_VERDICT__IDEM_VERDICT_UNSPECIFIED;
 
-  what.workspace = "w";
-  what.key = (char *)key;
-  what.attempt = (char *)attempt;
-  co_idem_begin (fixture->idem, &what, on_begun, &verdict);
+  request.workspace = "w";
+  request.key = (char *)key;
+  request.attempt = (char *)attempt;
+  co_idem_begin (fixture->idem, &request, on_begun, &verdict);
   knl_paused_clock_advance (fixture->daemons.clock, 10 * KNL_MSEC);
   return verdict;
 }
--- a/tests/unit/co_idem_test.c
+++ b/tests/unit/co_idem_test.c
@@ -15,7 +15,7 @@
   Daemons daemons;
   CoLeases *leases[HOLDERS];
   CoIdem *idems[HOLDERS];
-  gboolean gone; /* whether every attempt's process is reported as ended */
+  gboolean attempts_ended; /* whether every attempt's process is reported as ended */
 } Fixture;
 
 /* The result of one begin or finish. */
@@ -31,9 +31,9 @@
 static const char *const names[HOLDERS] = { "c1", "c2" };
 
 static gboolean
-is_gone (const char *attempt, gpointer data)
+attempt_has_ended (const char *attempt, gpointer data)
 {
-  return ((Fixture *)data)->gone;
+  return ((Fixture *)data)->attempts_ended;
 }
 
 static Fixture *
@@ -58,10 +58,10 @@
         .batch_delay = 3 * KNL_MSEC,
         .begin_timeout = 2 * KNL_SEC,
         .finish_timeout = 2 * KNL_SEC,
-        .attempt_limit = 600 * KNL_SEC,
+        .attempt_timeout = 600 * KNL_SEC,
         .answer_bytes = 8,
-        .cache_limit = 4,
-        .attempt_gone = is_gone,
+        .max_cached = 4,
+        .attempt_ended = attempt_has_ended,
         .data = fixture,
       };
 
@@ -171,7 +171,7 @@
     Alderturn__IdemState finish; /* 0: a begin */
     guint64 digest;
     Alderturn__IdemVerdict verdict;
-    gboolean gone;
+    gboolean attempts_ended;
   } rows[] = {
     { "a", 0, 1, VERDICT (RUN), FALSE },    { "a", 0, 1, VERDICT (RUN), FALSE },
     { "b", 0, 1, VERDICT (BUSY), FALSE },   { "b", 0, 2, VERDICT (MISMATCH), FALSE },
@@ -189,7 +189,7 @@
     {
       guint holder = holder_of (fixture, "k");
 
-      fixture->gone = rows[i].gone;
+      fixture->attempts_ended = rows[i].attempts_ended;
       if (rows[i].finish != 0)
         finish_at (fixture, holder, "k", rows[i].attempt, rows[i].finish, &result);
       else
@@ -325,50 +325,50 @@
   gboolean ended;   /* recorded as done */
   gboolean pending; /* the last begin or finish has no result yet */
   Alderturn__IdemState finishing;
-} Subject;
+} KeyState;
 
 static void
-handle_result (Subject *subject)
+handle_result (KeyState *key_state)
 {
-  if (!subject->pending || subject->result.answers == 0)
+  if (!key_state->pending || key_state->result.answers == 0)
     return;
-  subject->pending = FALSE;
-  if (subject->finishing != 0)
+  key_state->pending = FALSE;
+  if (key_state->finishing != 0)
     {
-      if (subject->result.durable)
+      if (key_state->result.durable)
         {
-          subject->runs = FALSE;
-          subject->ended = subject->ended || subject->finishing == STATE (DONE);
-          subject->finishing = 0;
+          key_state->runs = FALSE;
+          key_state->ended = key_state->ended || key_state->finishing == STATE (DONE);
+          key_state->finishing = 0;
         }
       return;
     }
-  if (subject->result.verdict != VERDICT (RUN))
+  if (key_state->result.verdict != VERDICT (RUN))
     return;
-  if (subject->runs || subject->ended)
+  if (key_state->runs || key_state->ended)
     CU_FAIL ("a second attempt was told to run");
-  subject->runs = TRUE;
+  key_state->runs = TRUE;
 }
 
 static void
-act (Fixture *fixture, Subject *subject, GRand *rand, guint number)
+begin_or_finish (Fixture *fixture, KeyState *key_state, GRand *rand, guint number)
 {
   guint holder = (guint)g_rand_int_range (rand, 0, HOLDERS);
 
-  handle_result (subject);
-  if (subject->pending)
+  handle_result (key_state);
+  if (key_state->pending)
     return;
-  subject->pending = TRUE;
-  if (subject->runs)
+  key_state->pending = TRUE;
+  if (key_state->runs)
     {
-      if (subject->finishing == 0)
-        subject->finishing = g_rand_int_range (rand, 0, 5) == 0 ? STATE (DONE) : STATE (NOT_RUN);
-      finish_at (fixture, holder, subject->name, subject->attempt, subject->finishing,
-                 &subject->result);
+      if (key_state->finishing == 0)
+        key_state->finishing = g_rand_int_range (rand, 0, 5) == 0 ? STATE (DONE) : STATE (NOT_RUN);
+      finish_at (fixture, holder, key_state->name, key_state->attempt, key_state->finishing,
+                 &key_state->result);
       return;
     }
-  g_snprintf (subject->attempt, sizeof (subject->attempt), "t%u", number);
-  begin_at (fixture, holder, subject->name, subject->attempt, 1, &subject->result);
+  g_snprintf (key_state->attempt, sizeof (key_state->attempt), "t%u", number);
+  begin_at (fixture, holder, key_state->name, key_state->attempt, 1, &key_state->result);
 }
 
 static void
@@ -390,21 +390,21 @@
   for (guint32 seed = 1; seed <= 6; seed++)
     {
       g_autoptr (Fixture) fixture = fixture_new (seed);
-      Subject subjects[KEYS] = { 0 };
+      KeyState key_states[KEYS] = { 0 };
       g_autoptr (GRand) rand = g_rand_new_with_seed (seed);
       guint ended = 0;
 
       for (guint i = 0; i < KEYS; i++)
-        g_snprintf (subjects[i].name, sizeof (subjects[i].name), "k%u", i);
+        g_snprintf (key_states[i].name, sizeof (key_states[i].name), "k%u", i);
       for (guint i = 0; i < 18000; i++)
         {
           if (i % 50 == 0)
             random_fault (fixture, rand);
-          act (fixture, &subjects[g_rand_int_range (rand, 0, KEYS)], rand, i);
+          begin_or_finish (fixture, &key_states[g_rand_int_range (rand, 0, KEYS)], rand, i);
           run (fixture, 100 * KNL_MSEC);
         }
       for (guint i = 0; i < KEYS; i++)
-        ended += subjects[i].ended ? 1 : 0;
+        ended += key_states[i].ended ? 1 : 0;
       CU_ASSERT_TRUE (ended > 0);
     }
 }
--- a/tests/unit/ct_controller_test.c
+++ b/tests/unit/ct_controller_test.c
@@ -389,7 +389,7 @@
     const char *query;
     const char *body;
     int status;
-    const char *part; /* contained in the answer's body */
+    const char *expected; /* contained in the answer's body */
   } rows[] = {
     { "GET", "/healthz", NULL, NULL, 200, "ok" },
     { "GET", "/metrics", NULL, NULL, 200, "alderturn_leases_held" },
@@ -415,7 +415,7 @@
                                    rows[i].query, rows[i].body, on_answer, fixture);
       advance (fixture, 2 * KNL_SEC);
       CU_ASSERT_EQUAL (fixture->status, rows[i].status);
-      CU_ASSERT_PTR_NOT_NULL (strstr (fixture->body, rows[i].part));
+      CU_ASSERT_PTR_NOT_NULL (strstr (fixture->body, rows[i].expected));
     }
 }
 
--- a/tests/unit/ct_placement_test.c
+++ b/tests/unit/ct_placement_test.c
@@ -79,9 +79,9 @@
   return count;
 }
 
-#define SERVICE(model, engines, part)                                                              \
+#define SERVICE(model, engines, long_share)                                                        \
   "{\"kind\":\"model\",\"endpoints\":\"gpu\",\"model\":\"" model "\",\"engines\":" engines         \
-  ",\"long-share\":" part "}"
+  ",\"long-share\":" long_share "}"
 
 static void
 test_placement_by_table (void)
--- a/tests/unit/en_faults_test.c
+++ b/tests/unit/en_faults_test.c
@@ -160,7 +160,7 @@
     {
       const LimitCase *c = &limit_cases[i];
       KnlTime limit = 5 * KNL_SEC;
-      KnlTime asked_at;
+      KnlTime submitted_at;
       g_autoptr (EnFixture) fixture = en_fixture_new (NULL);
 
       for (guint e = 0; e < EN_FIXTURE_ENGINES; e++)
@@ -168,13 +168,13 @@
           fk_fleet_set_fault (fixture->fleet, en_fixture_engine (e), c->fault, c->frames, 0);
           fk_fleet_set_frozen (fixture->fleet, en_fixture_engine (e), c->frozen);
         }
-      asked_at = knl_kernel_now (fixture->kernel);
+      submitted_at = knl_kernel_now (fixture->kernel);
       en_fixture_submit (fixture, &fixture->caller, PROMPT, TOKENS, limit);
       CU_ASSERT_TRUE (en_fixture_wait (fixture, &fixture->caller, 10 * limit));
       if (fixture->caller.code != c->code || fixture->caller.outcome != c->outcome)
         printf ("\n  %s: code %d, outcome %d", c->name, fixture->caller.code,
                 fixture->caller.outcome);
-      CU_ASSERT_TRUE (fixture->caller.ended_at - asked_at <= limit + MARGIN);
+      CU_ASSERT_TRUE (fixture->caller.ended_at - submitted_at <= limit + MARGIN);
       CU_ASSERT_EQUAL (fixture->caller.code, c->code);
       CU_ASSERT_EQUAL (fixture->caller.outcome, c->outcome);
       CU_ASSERT_TRUE (c->outcome != EN_OUTCOME_NOT_RUN || en_fixture_runs (fixture) == 0);
@@ -193,11 +193,11 @@
 static guint64
 engines_in_use (EnFixture *fixture)
 {
-  guint64 taken = 0;
+  guint64 used = 0;
 
   for (guint e = 0; e < EN_FIXTURE_ENGINES; e++)
-    taken += sd_engine_reserved_tokens (fk_fleet_engine (fixture->fleet, en_fixture_engine (e)));
-  return taken;
+    used += sd_engine_reserved_tokens (fk_fleet_engine (fixture->fleet, en_fixture_engine (e)));
+  return used;
 }
 
 /*
--- a/tests/unit/en_fixture.c
+++ b/tests/unit/en_fixture.c
@@ -148,7 +148,7 @@
     .max_in_flight = 1000,
     .max_queued = 100,
     .max_new_tokens = 10000,
-    .max_limit = 1000 * KNL_SEC,
+    .max_timeout = 1000 * KNL_SEC,
     .entries_ttl = KNL_SEC,
   };
   EnCoreParts parts;
@@ -273,19 +273,19 @@
 en_fixture_in_use (EnFixture *self)
 {
   const GPtrArray *endpoints = en_fleet_endpoints (en_core_fleet (self->core));
-  guint64 taken = 0;
+  guint64 used = 0;
 
   for (guint i = 0; i < EN_FIXTURE_ENGINES; i++)
     {
       SdEngine *engine = fk_fleet_engine (self->fleet, addresses[i]);
 
-      taken += engine != NULL ? sd_engine_reserved_tokens (engine) : 0;
+      used += engine != NULL ? sd_engine_reserved_tokens (engine) : 0;
     }
   for (guint i = 0; i < endpoints->len; i++)
     {
       const EnEndpoint *endpoint = g_ptr_array_index (endpoints, i);
 
-      taken += endpoint->used_tokens + endpoint->used_slots + endpoint->pending_prefill;
+      used += endpoint->used_tokens + endpoint->used_slots + endpoint->pending_prefill;
     }
-  return taken;
+  return used;
 }
--- a/tests/unit/en_framing_test.c
+++ b/tests/unit/en_framing_test.c
@@ -34,10 +34,10 @@
   EnCore *core;
   EnFront *front;
   struct bufferevent *caller;
-  GString *got;
+  GString *received;
   gboolean ended; /* the front has closed its side */
   gboolean reset;
-} Site;
+} Fixture;
 
 static void
 on_test_timeout (evutil_socket_t fd, short what, void *data)
@@ -51,7 +51,7 @@
   struct evbuffer *input = bufferevent_get_input (stream);
   gsize length = evbuffer_get_length (input);
 
-  g_string_append_len (((Site *)data)->got, (const char *)evbuffer_pullup (input, -1),
+  g_string_append_len (((Fixture *)data)->received, (const char *)evbuffer_pullup (input, -1),
                        (gssize)length);
   evbuffer_drain (input, length);
 }
@@ -59,14 +59,14 @@
 static void
 on_event (struct bufferevent *stream, short what, void *data)
 {
-  Site *self = data;
+  Fixture *self = data;
 
   self->ended |= (what & BEV_EVENT_EOF) != 0;
   self->reset |= (what & BEV_EVENT_ERROR) != 0;
 }
 
 static void
-connect_caller (Site *self)
+connect_caller (Fixture *self)
 {
   char address[32];
   struct sockaddr_storage peer;
@@ -80,8 +80,8 @@
   bufferevent_socket_connect (self->caller, (struct sockaddr *)&peer, length);
 }
 
-static Site *
-site_new (void)
+static Fixture *
+fixture_new (void)
 {
   static const EnCoreSettings core = { .instance = "e1",
                                        .zone = "a",
@@ -89,13 +89,13 @@
                                        .max_in_flight = 100,
                                        .max_queued = 100,
                                        .max_new_tokens = 1000,
-                                       .max_limit = 60 * KNL_SEC,
+                                       .max_timeout = 60 * KNL_SEC,
                                        .entries_ttl = KNL_SEC };
   static const EnFrontSettings front = {
     .address = "127.0.0.1", .max_body = MAX_BODY, .max_headers = MAX_HEAD, .max_unread = 100000
   };
   struct timeval limit = { .tv_sec = TEST_TIMEOUT_S };
-  Site *self = g_new0 (Site, 1);
+  Fixture *self = g_new0 (Fixture, 1);
   EnCoreParts parts;
 
   self->base = event_base_new ();
@@ -110,13 +110,13 @@
   parts = (EnCoreParts){ self->kernel, self->client, &self->uplink.base, self->config };
   self->core = en_core_new (&parts, &core);
   self->front = en_front_new (self->kernel, self->base, self->core, &front);
-  self->got = g_string_new (NULL);
+  self->received = g_string_new (NULL);
   connect_caller (self);
   return self;
 }
 
 static void
-site_free (Site *self)
+fixture_free (Fixture *self)
 {
   if (self->caller != NULL)
     bufferevent_free (self->caller);
@@ -130,29 +130,29 @@
   en_test_uplink_clear (&self->uplink);
   event_free (self->test_timeout);
   event_base_free (self->base);
-  g_string_free (self->got, TRUE);
+  g_string_free (self->received, TRUE);
   g_free (self);
 }
 
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (Site, site_free)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (Fixture, fixture_free)
 
 static void
-send_bytes (Site *self, const char *bytes)
+send_bytes (Fixture *self, const char *bytes)
 {
   bufferevent_write (self->caller, bytes, strlen (bytes));
 }
 
 /* Runs the loop until `text` was received, or the connection has ended. */
 static gboolean
-wait_for (Site *self, const char *text)
+wait_for (Fixture *self, const char *text)
 {
-  while (strstr (self->got->str, text) == NULL && !self->ended && !self->reset)
+  while (strstr (self->received->str, text) == NULL && !self->ended && !self->reset)
     event_base_loop (self->base, EVLOOP_ONCE);
-  return strstr (self->got->str, text) != NULL;
+  return strstr (self->received->str, text) != NULL;
 }
 
 static void
-wait_for_end (Site *self)
+wait_for_end (Fixture *self)
 {
   while (!self->ended && !self->reset)
     event_base_loop (self->base, EVLOOP_ONCE);
@@ -160,7 +160,7 @@
 
 /* Delivers all bytes in transit, without advancing the paused clock. */
 static void
-settle (Site *self)
+settle (Fixture *self)
 {
   for (guint i = 0; i < 20; i++)
     event_base_loop (self->base, EVLOOP_NONBLOCK);
@@ -177,8 +177,8 @@
 {
   const char *name;
   const char *bytes;
-  const char *answer; /* start of the answer */
-  const char *said;   /* text in its body */
+  const char *answer;    /* start of the answer */
+  const char *body_text; /* text in its body */
 } Row;
 
 /*
@@ -245,15 +245,17 @@
     {
       const Row *row = &rows[i];
       gboolean is_right;
-      g_autoptr (Site) site = site_new ();
+      g_autoptr (Fixture) fixture = fixture_new ();
 
-      send_bytes (site, row->bytes);
-      is_right = wait_for (site, row->said) && g_str_has_prefix (site->got->str, row->answer);
+      send_bytes (fixture, row->bytes);
+      is_right = wait_for (fixture, row->body_text)
+                 && g_str_has_prefix (fixture->received->str, row->answer);
       if (!is_right)
-        printf ("\n  %s: %s", row->name, site->got->str);
+        printf ("\n  %s: %s", row->name, fixture->received->str);
       CU_ASSERT_TRUE (is_right);
-      CU_ASSERT_EQUAL (strcmp (row->said, HEALTHY) != 0,
-                       strstr (site->got->str, "Content-Type: application/json\r\n") != NULL);
+      CU_ASSERT_EQUAL (strcmp (row->body_text, HEALTHY) != 0,
+                       strstr (fixture->received->str, "Content-Type: application/json\r\n")
+                           != NULL);
     }
 }
 
@@ -288,23 +290,24 @@
     {
       const SlowRow *row = &slow_rows[i];
       guint seconds = 0;
-      g_autoptr (Site) site = site_new ();
+      g_autoptr (Fixture) fixture = fixture_new ();
 
-      send_bytes (site, row->bytes);
-      settle (site);
-      while (!site->ended && !site->reset && seconds < 2 * row->seconds)
+      send_bytes (fixture, row->bytes);
+      settle (fixture);
+      while (!fixture->ended && !fixture->reset && seconds < 2 * row->seconds)
         {
           if (row->more != NULL)
-            send_bytes (site, row->more);
-          knl_paused_clock_advance (site->clock, KNL_SEC);
+            send_bytes (fixture, row->more);
+          knl_paused_clock_advance (fixture->clock, KNL_SEC);
           seconds++;
-          settle (site);
+          settle (fixture);
         }
       if (seconds > row->seconds + 2 || seconds < row->seconds)
-        printf ("\n  %s: %u s, %s", row->name, seconds, site->got->str);
+        printf ("\n  %s: %u s, %s", row->name, seconds, fixture->received->str);
       CU_ASSERT_TRUE (seconds >= row->seconds && seconds <= row->seconds + 2);
-      CU_ASSERT_TRUE (g_str_has_prefix (site->got->str, row->answer != NULL ? row->answer : ""));
-      CU_ASSERT_TRUE (row->answer != NULL || site->got->len == 0);
+      CU_ASSERT_TRUE (
+          g_str_has_prefix (fixture->received->str, row->answer != NULL ? row->answer : ""));
+      CU_ASSERT_TRUE (row->answer != NULL || fixture->received->len == 0);
     }
 }
 
@@ -319,18 +322,18 @@
   g_autofree char *body = g_strnfill (3 << 20, 'x');
   g_autofree char *head = g_strdup_printf (
       "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: %u\r\n\r\n", 3 << 20);
-  g_autoptr (Site) site = site_new ();
-
-  bufferevent_disable (site->caller, EV_READ);
-  send_bytes (site, head);
-  send_bytes (site, body);
-  while (evbuffer_get_length (bufferevent_get_output (site->caller)) > 0)
-    event_base_loop (site->base, EVLOOP_ONCE);
-  bufferevent_enable (site->caller, EV_READ);
-  wait_for_end (site);
-  CU_ASSERT_FALSE (site->reset);
-  CU_ASSERT_PTR_NOT_NULL (strstr (site->got->str, "HTTP/1.1 413 "));
-  CU_ASSERT_PTR_NOT_NULL (strstr (site->got->str, "\"code\":\"too-large\""));
+  g_autoptr (Fixture) fixture = fixture_new ();
+
+  bufferevent_disable (fixture->caller, EV_READ);
+  send_bytes (fixture, head);
+  send_bytes (fixture, body);
+  while (evbuffer_get_length (bufferevent_get_output (fixture->caller)) > 0)
+    event_base_loop (fixture->base, EVLOOP_ONCE);
+  bufferevent_enable (fixture->caller, EV_READ);
+  wait_for_end (fixture);
+  CU_ASSERT_FALSE (fixture->reset);
+  CU_ASSERT_PTR_NOT_NULL (strstr (fixture->received->str, "HTTP/1.1 413 "));
+  CU_ASSERT_PTR_NOT_NULL (strstr (fixture->received->str, "\"code\":\"too-large\""));
 }
 
 /*
@@ -340,16 +343,16 @@
 static void
 test_expect_continue (void)
 {
-  g_autoptr (Site) site = site_new ();
-
-  send_bytes (site, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\n"
-                    "Content-Length: 2\r\n\r\n");
-  CU_ASSERT_TRUE (wait_for (site, "HTTP/1.1 100 Continue\r\n\r\n"));
-  send_bytes (site, "{}");
-  CU_ASSERT_TRUE (wait_for (site, "service must be a text"));
-  CU_ASSERT_STRING_EQUAL (strrchr (site->got->str, '}'), "}");
-  send_bytes (site, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-  CU_ASSERT_TRUE (wait_for (site, "\r\n\r\nok\n"));
+  g_autoptr (Fixture) fixture = fixture_new ();
+
+  send_bytes (fixture, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\n"
+                       "Content-Length: 2\r\n\r\n");
+  CU_ASSERT_TRUE (wait_for (fixture, "HTTP/1.1 100 Continue\r\n\r\n"));
+  send_bytes (fixture, "{}");
+  CU_ASSERT_TRUE (wait_for (fixture, "service must be a text"));
+  CU_ASSERT_STRING_EQUAL (strrchr (fixture->received->str, '}'), "}");
+  send_bytes (fixture, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+  CU_ASSERT_TRUE (wait_for (fixture, "\r\n\r\nok\n"));
 }
 
 /*
@@ -359,15 +362,15 @@
 static void
 test_half_closed (void)
 {
-  g_autoptr (Site) site = site_new ();
-
-  send_bytes (site, BEFORE_BODY);
-  settle (site);
-  CU_ASSERT_EQUAL (en_front_open_answers (site->front), 1);
-  shutdown (bufferevent_getfd (site->caller), SHUT_WR);
-  wait_for_end (site);
-  CU_ASSERT_EQUAL (en_front_open_answers (site->front), 0);
-  CU_ASSERT_EQUAL (site->got->len, 0);
+  g_autoptr (Fixture) fixture = fixture_new ();
+
+  send_bytes (fixture, BEFORE_BODY);
+  settle (fixture);
+  CU_ASSERT_EQUAL (en_front_open_answers (fixture->front), 1);
+  shutdown (bufferevent_getfd (fixture->caller), SHUT_WR);
+  wait_for_end (fixture);
+  CU_ASSERT_EQUAL (en_front_open_answers (fixture->front), 0);
+  CU_ASSERT_EQUAL (fixture->received->len, 0);
 }
 
 static const SuiteCase cases[] = {
--- a/tests/unit/en_front_test.c
+++ b/tests/unit/en_front_test.c
@@ -31,7 +31,7 @@
   const char *script; /* the engine's answer, R stands for the request's id; NULL: no answer */
   int engine_status;
   guint cancels;
-} Site;
+} Fixture;
 
 static guint16
 port_of (struct evhttp_bound_socket *socket)
@@ -45,14 +45,14 @@
 }
 
 static void
-send_script (Site *site, struct evhttp_request *request, const char *id)
+send_script (Fixture *fixture, struct evhttp_request *request, const char *id)
 {
-  char **parts = g_strsplit (site->script, "R", -1);
+  char **parts = g_strsplit (fixture->script, "R", -1);
   char *text = g_strjoinv (id, parts);
   struct evbuffer *body = evbuffer_new ();
 
   evbuffer_add (body, text, strlen (text));
-  evhttp_send_reply (request, site->engine_status, "x", body);
+  evhttp_send_reply (request, fixture->engine_status, "x", body);
   evbuffer_free (body);
   g_free (text);
   g_strfreev (parts);
@@ -61,53 +61,53 @@
 static void
 on_engine_request (struct evhttp_request *request, void *data)
 {
-  Site *site = data;
+  Fixture *fixture = data;
   const char *uri = evhttp_request_get_uri (request);
   struct evbuffer *input = evhttp_request_get_input_buffer (request);
   json_t *body =
       json_loadb ((char *)evbuffer_pullup (input, -1), evbuffer_get_length (input), 0, NULL);
 
   if (strcmp (uri, "/v1/cancel") == 0)
-    site->cancels++;
+    fixture->cancels++;
   if (strcmp (uri, "/v1/cancel") == 0)
     evhttp_send_reply (request, 200, "OK", NULL);
   else if (strcmp (uri, "/v1/generate") != 0)
     evhttp_send_reply (request, 404, "x", NULL);
-  else if (site->script != NULL)
-    send_script (site, request, json_string_value (json_object_get (body, "request")));
+  else if (fixture->script != NULL)
+    send_script (fixture, request, json_string_value (json_object_get (body, "request")));
   json_decref (body);
 }
 
 static void
-add_members (Site *site)
+add_members (Fixture *fixture)
 {
   Alderturn__Member engine = ALDERTURN__MEMBER__INIT;
 
-  en_test_uplink_declare (&site->uplink, "model", "m", "{}");
-  en_test_uplink_declare (&site->uplink, "service", "chat",
+  en_test_uplink_declare (&fixture->uplink, "model", "m", "{}");
+  en_test_uplink_declare (&fixture->uplink, "service", "chat",
                           "{\"kind\":\"model\",\"endpoints\":\"gpu\",\"model\":\"m\"}");
-  en_test_uplink_declare (&site->uplink, "workspace", "w1", "{\"token\":\"t1\"}");
+  en_test_uplink_declare (&fixture->uplink, "workspace", "w1", "{\"token\":\"t1\"}");
   engine.name = "engine-1";
   engine.kind = ALDERTURN__MEMBER_KIND__MEMBER_KIND_ENGINE;
   engine.state = ALDERTURN__MEMBER_STATE__MEMBER_STATE_LIVE;
-  engine.address = site->engine_address;
+  engine.address = fixture->engine_address;
   engine.service = "gpu";
   engine.zone = "a";
   engine.incarnation = 1;
-  en_test_uplink_member (&site->uplink, &engine, TRUE);
+  en_test_uplink_member (&fixture->uplink, &engine, TRUE);
 }
 
-static Site *
-site_new (void)
+static Fixture *
+fixture_new (void)
 {
-  Site *site = g_new0 (Site, 1);
+  Fixture *fixture = g_new0 (Fixture, 1);
   EnCoreSettings core = { .instance = "e1",
                           .zone = "a",
                           .incarnation = 7,
                           .max_in_flight = 100,
                           .max_queued = 100,
                           .max_new_tokens = 1000,
-                          .max_limit = 60 * KNL_SEC,
+                          .max_timeout = 60 * KNL_SEC,
                           .entries_ttl = KNL_SEC };
   EnFrontSettings front = { .address = "127.0.0.1",
                             .operator_token = "op",
@@ -116,53 +116,53 @@
                             .max_unread = 100000 };
   EnCoreParts parts;
 
-  site->engine_status = 200;
-  site->base = event_base_new ();
-  site->runtime = knl_event_runtime_new (site->base);
-  site->kernel = knl_kernel_new (site->runtime, 1);
-  en_test_uplink_init (&site->uplink, site->kernel);
-  site->client = ep_http_client_new (site->kernel, site->base);
-  site->config = co_config_new ();
-  parts = (EnCoreParts){ site->kernel, site->client, &site->uplink.base, site->config };
-  site->core = en_core_new (&parts, &core);
-  site->front = en_front_new (site->kernel, site->base, site->core, &front);
-  site->engine = evhttp_new (site->base);
-  evhttp_set_gencb (site->engine, on_engine_request, site);
-  g_snprintf (site->engine_address, sizeof site->engine_address, "127.0.0.1:%u",
-              port_of (evhttp_bind_socket_with_handle (site->engine, "127.0.0.1", 0)));
-  add_members (site);
-  return site;
+  fixture->engine_status = 200;
+  fixture->base = event_base_new ();
+  fixture->runtime = knl_event_runtime_new (fixture->base);
+  fixture->kernel = knl_kernel_new (fixture->runtime, 1);
+  en_test_uplink_init (&fixture->uplink, fixture->kernel);
+  fixture->client = ep_http_client_new (fixture->kernel, fixture->base);
+  fixture->config = co_config_new ();
+  parts = (EnCoreParts){ fixture->kernel, fixture->client, &fixture->uplink.base, fixture->config };
+  fixture->core = en_core_new (&parts, &core);
+  fixture->front = en_front_new (fixture->kernel, fixture->base, fixture->core, &front);
+  fixture->engine = evhttp_new (fixture->base);
+  evhttp_set_gencb (fixture->engine, on_engine_request, fixture);
+  g_snprintf (fixture->engine_address, sizeof fixture->engine_address, "127.0.0.1:%u",
+              port_of (evhttp_bind_socket_with_handle (fixture->engine, "127.0.0.1", 0)));
+  add_members (fixture);
+  return fixture;
 }
 
 static void
-site_free (Site *site)
+fixture_free (Fixture *fixture)
 {
-  en_front_free (site->front);
-  en_core_free (site->core);
-  ep_client_free (site->client);
-  knl_kernel_run_due (site->kernel);
-  evhttp_free (site->engine);
-  co_config_free (site->config);
-  knl_kernel_free (site->kernel);
-  en_test_uplink_clear (&site->uplink);
-  knl_event_runtime_free (site->runtime);
-  event_base_free (site->base);
-  g_free (site);
+  en_front_free (fixture->front);
+  en_core_free (fixture->core);
+  ep_client_free (fixture->client);
+  knl_kernel_run_due (fixture->kernel);
+  evhttp_free (fixture->engine);
+  co_config_free (fixture->config);
+  knl_kernel_free (fixture->kernel);
+  en_test_uplink_clear (&fixture->uplink);
+  knl_event_runtime_free (fixture->runtime);
+  event_base_free (fixture->base);
+  g_free (fixture);
 }
 
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (Site, site_free)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (Fixture, fixture_free)
 
 /* Runs the loop until `text` was received or, with `text` NULL, `count` is above 0. */
 static gboolean
-run_until (Site *site, const GString *got, const char *text, const guint *count)
+run_until (Fixture *fixture, const GString *received, const char *text, const guint *count)
 {
-  KnlTime until = knl_kernel_now (site->kernel) + HANG_TIMEOUT;
+  KnlTime until = knl_kernel_now (fixture->kernel) + HANG_TIMEOUT;
 
-  while (knl_kernel_now (site->kernel) < until)
+  while (knl_kernel_now (fixture->kernel) < until)
     {
-      if (text != NULL ? strstr (got->str, text) != NULL : *count > 0)
+      if (text != NULL ? strstr (received->str, text) != NULL : *count > 0)
         return TRUE;
-      event_base_loop (site->base, EVLOOP_ONCE);
+      event_base_loop (fixture->base, EVLOOP_ONCE);
     }
   return FALSE;
 }
@@ -178,21 +178,21 @@
 }
 
 static struct bufferevent *
-caller_connect (Site *site, GString *got)
+caller_connect (Fixture *fixture, GString *received)
 {
   struct sockaddr_in address = { .sin_family = AF_INET,
-                                 .sin_port = htons (en_front_port (site->front)),
+                                 .sin_port = htons (en_front_port (fixture->front)),
                                  .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
-  struct bufferevent *stream = bufferevent_socket_new (site->base, -1, BEV_OPT_CLOSE_ON_FREE);
+  struct bufferevent *stream = bufferevent_socket_new (fixture->base, -1, BEV_OPT_CLOSE_ON_FREE);
 
-  bufferevent_setcb (stream, on_read, NULL, NULL, got);
+  bufferevent_setcb (stream, on_read, NULL, NULL, received);
   bufferevent_enable (stream, EV_READ | EV_WRITE);
   bufferevent_socket_connect (stream, (struct sockaddr *)&address, sizeof address);
   return stream;
 }
 
 static void
-ask (struct bufferevent *stream, const char *head, const char *body)
+send_request (struct bufferevent *stream, const char *head, const char *body)
 {
   evbuffer_add_printf (bufferevent_get_output (stream),
                        "%s HTTP/1.1\r\nHost: x\r\nContent-Length: %u\r\n\r\n%s", head,
@@ -253,16 +253,16 @@
       const AnswerCase *c = i < G_N_ELEMENTS (answer_cases)
                                 ? &answer_cases[i]
                                 : &bounds[i - G_N_ELEMENTS (answer_cases)];
-      g_autoptr (GString) got = g_string_new (NULL);
+      g_autoptr (GString) received = g_string_new (NULL);
       struct bufferevent *stream;
-      g_autoptr (Site) site = site_new ();
-
-      site->script = ACCEPTED AB C END;
-      stream = caller_connect (site, got);
-      ask (stream, c->head, c->body);
-      if (!run_until (site, got, c->expected, NULL))
-        printf ("\n  %s: %s", c->name, got->str);
-      CU_ASSERT_PTR_NOT_NULL (strstr (got->str, c->expected));
+      g_autoptr (Fixture) fixture = fixture_new ();
+
+      fixture->script = ACCEPTED AB C END;
+      stream = caller_connect (fixture, received);
+      send_request (stream, c->head, c->body);
+      if (!run_until (fixture, received, c->expected, NULL))
+        printf ("\n  %s: %s", c->name, received->str);
+      CU_ASSERT_PTR_NOT_NULL (strstr (received->str, c->expected));
       bufferevent_free (stream);
     }
 }
@@ -275,24 +275,24 @@
 static void
 test_caller_disconnects (void)
 {
-  g_autoptr (GString) got = g_string_new (NULL);
+  g_autoptr (GString) received = g_string_new (NULL);
   struct bufferevent *stream;
   guint begun = 0;
   json_t *view;
-  g_autoptr (Site) site = site_new ();
+  g_autoptr (Fixture) fixture = fixture_new ();
 
-  stream = caller_connect (site, got);
-  ask (stream, POST AUTH, COMPLETION);
+  stream = caller_connect (fixture, received);
+  send_request (stream, POST AUTH, COMPLETION);
   while (begun == 0)
     {
-      const GPtrArray *endpoints = en_fleet_endpoints (en_core_fleet (site->core));
+      const GPtrArray *endpoints = en_fleet_endpoints (en_core_fleet (fixture->core));
 
-      event_base_loop (site->base, EVLOOP_ONCE);
+      event_base_loop (fixture->base, EVLOOP_ONCE);
       begun = ((EnEndpoint *)g_ptr_array_index (endpoints, 0))->used_slots;
     }
   bufferevent_free (stream);
-  CU_ASSERT_TRUE (run_until (site, got, NULL, &site->cancels));
-  view = en_core_request (site->core, "e1~7~1");
+  CU_ASSERT_TRUE (run_until (fixture, received, NULL, &fixture->cancels));
+  view = en_core_request (fixture->core, "e1~7~1");
   CU_ASSERT_STRING_EQUAL (json_string_value (json_object_get (view, "state")), "ended");
   json_decref (view);
 }
@@ -305,18 +305,18 @@
 static void
 test_pipelined_requests (void)
 {
-  g_autoptr (GString) got = g_string_new (NULL);
+  g_autoptr (GString) received = g_string_new (NULL);
   struct bufferevent *stream;
-  g_autoptr (Site) site = site_new ();
-
-  site->script = ACCEPTED AB C END;
-  stream = caller_connect (site, got);
-  ask (stream, POST AUTH, COMPLETION);
-  while (en_front_open_answers (site->front) == 0)
-    event_base_loop (site->base, EVLOOP_ONCE);
-  ask (stream, POST AUTH, AS_OBJECT);
-  CU_ASSERT_TRUE (run_until (site, got, "\"text\":\"a b c \"", NULL));
-  CU_ASSERT_PTR_NOT_NULL (strstr (got->str, "event: done"));
+  g_autoptr (Fixture) fixture = fixture_new ();
+
+  fixture->script = ACCEPTED AB C END;
+  stream = caller_connect (fixture, received);
+  send_request (stream, POST AUTH, COMPLETION);
+  while (en_front_open_answers (fixture->front) == 0)
+    event_base_loop (fixture->base, EVLOOP_ONCE);
+  send_request (stream, POST AUTH, AS_OBJECT);
+  CU_ASSERT_TRUE (run_until (fixture, received, "\"text\":\"a b c \"", NULL));
+  CU_ASSERT_PTR_NOT_NULL (strstr (received->str, "event: done"));
   bufferevent_free (stream);
 }
 
@@ -401,15 +401,15 @@
                               .connect_limit = HANG_TIMEOUT,
                               .first_limit = 100 * KNL_MSEC,
                               .idle_limit = HANG_TIMEOUT };
-      g_autoptr (Site) site = site_new ();
+      g_autoptr (Fixture) fixture = fixture_new ();
 
-      site->script = c->script;
-      site->engine_status = c->status;
-      generate.address = c->status != 0 ? site->engine_address : "127.0.0.1:1";
+      fixture->script = c->script;
+      fixture->engine_status = c->status;
+      generate.address = c->status != 0 ? fixture->engine_address : "127.0.0.1:1";
       generate.first_limit = c->script == NULL ? 100 * KNL_MSEC : HANG_TIMEOUT;
-      ep_client_generate (site->client, &generate, &stream_events, &result);
+      ep_client_generate (fixture->client, &generate, &stream_events, &result);
       CU_ASSERT_EQUAL (result.ended, 0);
-      CU_ASSERT_TRUE (run_until (site, NULL, NULL, &result.ended));
+      CU_ASSERT_TRUE (run_until (fixture, NULL, NULL, &result.ended));
       if (result.failure.kind != c->kind || result.ended != 1)
         printf ("\n  %s: kind %d, ended %u", c->name, result.failure.kind, result.ended);
       CU_ASSERT_EQUAL (result.ended, 1);
--- a/tests/unit/en_uplink_test.c
+++ b/tests/unit/en_uplink_test.c
@@ -27,7 +27,7 @@
   EnUplink *uplink;
   guint ups;
   guint downs;
-} Site;
+} Fixture;
 
 static void
 on_controller_frame (WrLink *link, const Alderturn__Frame *frame, gpointer data)
@@ -54,13 +54,13 @@
 static void
 on_up (gpointer data)
 {
-  ((Site *)data)->ups++;
+  ((Fixture *)data)->ups++;
 }
 
 static void
 on_down (gpointer data)
 {
-  ((Site *)data)->downs++;
+  ((Fixture *)data)->downs++;
 }
 
 static void
@@ -83,63 +83,64 @@
                        .secret = "s" };
 }
 
-static Site *
-site_new (void)
+static Fixture *
+fixture_new (void)
 {
-  Site *site = g_new0 (Site, 1);
+  Fixture *fixture = g_new0 (Fixture, 1);
   static const char *const names[] = { "c1", "c2" };
   static const char *const addresses[] = { LOCAL, OTHER, NULL };
 
-  site->clock = knl_paused_clock_new ();
-  site->network = fk_network_new ();
-  site->kernel = knl_kernel_new (knl_paused_clock_runtime (site->clock), 1);
+  fixture->clock = knl_paused_clock_new ();
+  fixture->network = fk_network_new ();
+  fixture->kernel = knl_kernel_new (knl_paused_clock_runtime (fixture->clock), 1);
   for (guint i = 0; i < 2; i++)
     {
-      Controller *controller = &site->controllers[i];
+      Controller *controller = &fixture->controllers[i];
 
       controller->identity = identity_of (names[i], ALDERTURN__ROLE__ROLE_CONTROLLER, addresses[i]);
       controller->transport =
-          fk_network_transport_new (site->network, site->kernel, &controller->identity, NULL);
+          fk_network_transport_new (fixture->network, fixture->kernel, &controller->identity, NULL);
       CU_ASSERT_TRUE (
           wr_transport_listen (controller->transport, addresses[i], on_accept, controller));
     }
-  site->identity = identity_of ("e1", ALDERTURN__ROLE__ROLE_ENTRY, "");
-  site->transport = fk_network_transport_new (site->network, site->kernel, &site->identity, NULL);
-  site->uplink = en_uplink_new (site->kernel, site->transport, LOCAL);
-  en_uplink_set_events (site->uplink, &uplink_events, site);
-  en_uplink_set_others (site->uplink, addresses);
-  knl_paused_clock_advance (site->clock, KNL_SEC);
-  return site;
+  fixture->identity = identity_of ("e1", ALDERTURN__ROLE__ROLE_ENTRY, "");
+  fixture->transport =
+      fk_network_transport_new (fixture->network, fixture->kernel, &fixture->identity, NULL);
+  fixture->uplink = en_uplink_new (fixture->kernel, fixture->transport, LOCAL);
+  en_uplink_set_events (fixture->uplink, &uplink_events, fixture);
+  en_uplink_set_others (fixture->uplink, addresses);
+  knl_paused_clock_advance (fixture->clock, KNL_SEC);
+  return fixture;
 }
 
 static void
-site_free (Site *site)
+fixture_free (Fixture *fixture)
 {
-  en_uplink_free (site->uplink);
-  wr_transport_free (site->transport);
+  en_uplink_free (fixture->uplink);
+  wr_transport_free (fixture->transport);
   for (guint i = 0; i < 2; i++)
-    wr_transport_free (site->controllers[i].transport);
-  knl_kernel_run_due (site->kernel);
-  knl_kernel_free (site->kernel);
-  fk_network_free (site->network);
-  knl_paused_clock_free (site->clock);
-  g_free (site);
+    wr_transport_free (fixture->controllers[i].transport);
+  knl_kernel_run_due (fixture->kernel);
+  knl_kernel_free (fixture->kernel);
+  fk_network_free (fixture->network);
+  knl_paused_clock_free (fixture->clock);
+  g_free (fixture);
 }
 
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (Site, site_free)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (Fixture, fixture_free)
 
 /* Sends a frame; returns the index of the controller that received it, or -1. */
 static int
-receiver_of_frame (Site *site)
+receiver_of_frame (Fixture *fixture)
 {
   Alderturn__EntryStatus status = ALDERTURN__ENTRY_STATUS__INIT;
-  guint before[] = { site->controllers[0].frames, site->controllers[1].frames };
+  guint before[] = { fixture->controllers[0].frames, fixture->controllers[1].frames };
 
-  en_uplink_send (site->uplink, WR_FRAME (ENTRY_STATUS, entry_status, &status));
-  knl_paused_clock_advance (site->clock, 100 * KNL_MSEC);
+  en_uplink_send (fixture->uplink, WR_FRAME (ENTRY_STATUS, entry_status, &status));
+  knl_paused_clock_advance (fixture->clock, 100 * KNL_MSEC);
   for (int i = 0; i < 2; i++)
     {
-      if (site->controllers[i].frames > before[i])
+      if (fixture->controllers[i].frames > before[i])
         return i;
     }
   return -1;
@@ -153,14 +154,14 @@
 } Loss;
 
 static void
-lose_local (Site *site, Loss loss, gboolean lost)
+lose_local (Fixture *fixture, Loss loss, gboolean lost)
 {
   if (loss != LOSE_FROZEN)
-    fk_network_block (site->network, "c1", "e1", lost);
+    fk_network_block (fixture->network, "c1", "e1", lost);
   if (loss == LOSE_REFUSED)
-    fk_network_refuse (site->network, "c1", lost);
+    fk_network_refuse (fixture->network, "c1", lost);
   if (loss == LOSE_FROZEN && lost)
-    fk_network_freeze (site->network, "c1", "e1");
+    fk_network_freeze (fixture->network, "c1", "e1");
 }
 
 /*
@@ -175,18 +176,18 @@
 
   for (guint i = 0; i < G_N_ELEMENTS (losses); i++)
     {
-      g_autoptr (Site) site = site_new ();
-
-      CU_ASSERT_EQUAL (receiver_of_frame (site), 0);
-      lose_local (site, losses[i], TRUE);
-      knl_paused_clock_advance (site->clock, 20 * KNL_SEC);
-      CU_ASSERT_TRUE (en_uplink_is_up (site->uplink));
-      CU_ASSERT_EQUAL (receiver_of_frame (site), losses[i] == LOSE_FROZEN ? 0 : 1);
-      CU_ASSERT_TRUE (site->downs >= 1);
-      lose_local (site, losses[i], FALSE);
-      knl_paused_clock_advance (site->clock, 20 * KNL_SEC);
-      CU_ASSERT_EQUAL (receiver_of_frame (site), 0);
-      CU_ASSERT_TRUE (site->ups >= 2);
+      g_autoptr (Fixture) fixture = fixture_new ();
+
+      CU_ASSERT_EQUAL (receiver_of_frame (fixture), 0);
+      lose_local (fixture, losses[i], TRUE);
+      knl_paused_clock_advance (fixture->clock, 20 * KNL_SEC);
+      CU_ASSERT_TRUE (en_uplink_is_up (fixture->uplink));
+      CU_ASSERT_EQUAL (receiver_of_frame (fixture), losses[i] == LOSE_FROZEN ? 0 : 1);
+      CU_ASSERT_TRUE (fixture->downs >= 1);
+      lose_local (fixture, losses[i], FALSE);
+      knl_paused_clock_advance (fixture->clock, 20 * KNL_SEC);
+      CU_ASSERT_EQUAL (receiver_of_frame (fixture), 0);
+      CU_ASSERT_TRUE (fixture->ups >= 2);
     }
 }
 
--- a/tests/unit/engine_orders_test.c
+++ b/tests/unit/engine_orders_test.c
@@ -92,7 +92,7 @@
   static const struct
   {
     double rate;
-    gboolean again;
+    gboolean has_second_order;
     KnlTime ready[2]; /* seconds, one for each engine */
   } rows[] = {
     { 14e9, FALSE, { 5, 5 } }, /* the minimum load time */
@@ -111,7 +111,7 @@
         sd_engine_order (fk_fleet_engine (f.fleet, addresses[e]), &order, &fence);
       knl_paused_clock_advance (f.clock, KNL_SEC);
       order.model = "third";
-      if (rows[i].again)
+      if (rows[i].has_second_order)
         sd_engine_order (fk_fleet_engine (f.fleet, ADDRESS), &order, &fence);
       knl_paused_clock_advance (f.clock, sd_engine_defaults.load_lag);
       for (KnlTime second = 1; second <= 22; second++)
--- a/tests/unit/member_test.c
+++ b/tests/unit/member_test.c
@@ -21,7 +21,7 @@
                       Alderturn__MemberState state,
                       KnlTime limit)
 {
-  KnlTime elapsed = fk_cluster_agree (cluster, kind, name, state, limit);
+  KnlTime elapsed = fk_cluster_advance_to_state (cluster, kind, name, state, limit);
 
   CU_ASSERT_TRUE (elapsed >= 0);
   return elapsed;
@@ -75,8 +75,8 @@
 {
   g_autoptr (FkCluster) cluster = fk_cluster_new (5);
 
-  cluster->broken_from = 0;
-  cluster->broken_to = 1;
+  cluster->broken_path_a = 0;
+  cluster->broken_path_b = 1;
   for (guint i = 0; i < 600; i++)
     {
       knl_paused_clock_advance (cluster->clock, KNL_SEC / 2);
@@ -113,7 +113,7 @@
   CU_ASSERT_EQUAL (fk_node_state (&cluster->nodes[1], CONTROLLER, "c0"), DEAD);
   fk_node_set_stopped (&cluster->nodes[0], FALSE);
   knl_paused_clock_advance (cluster->clock, 10 * KNL_SEC);
-  CU_ASSERT_EQUAL (cluster->nodes[0].blamed, 0);
+  CU_ASSERT_EQUAL (cluster->nodes[0].failures_seen, 0);
   CU_ASSERT_TRUE (fk_cluster_all_live (cluster));
 }
 
@@ -143,7 +143,7 @@
   knl_paused_clock_advance (cluster->clock, 20 * KNL_SEC);
   fk_node_set_stopped (&cluster->nodes[0], FALSE);
   knl_paused_clock_advance (cluster->clock, 10 * KNL_SEC);
-  CU_ASSERT_EQUAL (cluster->nodes[0].buried, 0);
+  CU_ASSERT_EQUAL (cluster->nodes[0].deaths_seen, 0);
   CU_ASSERT_TRUE (fk_cluster_all_live (cluster));
 }
 
@@ -164,13 +164,13 @@
   for (guint i = 0; i < 12; i++)
     co_members_seed (cluster->nodes[i].members, list, 1);
   knl_paused_clock_advance (cluster->clock, 10 * KNL_SEC);
-  cluster->regions_cut = TRUE;
+  cluster->regions_partitioned = TRUE;
   knl_paused_clock_advance (cluster->clock, 1800 * KNL_SEC);
   co_members_mark_leaving (cluster->nodes[11].members, ENGINE, "e1");
   knl_paused_clock_advance (cluster->clock, 1800 * KNL_SEC);
   CU_ASSERT_EQUAL (co_members_count (cluster->nodes[0].members, CONTROLLER), 6);
   CU_ASSERT_EQUAL (fk_node_state (&cluster->nodes[0], ENGINE, "e1"), LIVE);
-  cluster->regions_cut = FALSE;
+  cluster->regions_partitioned = FALSE;
   start = knl_paused_clock_now (cluster->clock);
   CU_ASSERT_TRUE (
       knl_paused_clock_advance_until (cluster->clock, 60 * KNL_SEC, fk_cluster_all_live, cluster));
--- a/tests/unit/metrics_test.c
+++ b/tests/unit/metrics_test.c
@@ -28,23 +28,23 @@
 test_merge_is_as_recorded_together (void)
 {
   CmHistogram parts[2] = { 0 };
-  CmHistogram whole = { 0 };
+  CmHistogram combined = { 0 };
 
   for (guint64 value = 1; value < 100000; value += 7)
     {
       cm_histogram_record (&parts[value % 2], value);
-      cm_histogram_record (&whole, value);
+      cm_histogram_record (&combined, value);
     }
   cm_histogram_merge (&parts[0], &parts[1]);
-  CU_ASSERT_EQUAL (parts[0].count, whole.count);
-  CU_ASSERT_EQUAL (parts[0].sum, whole.sum);
+  CU_ASSERT_EQUAL (parts[0].count, combined.count);
+  CU_ASSERT_EQUAL (parts[0].sum, combined.sum);
   for (guint step = 0; step <= 20; step++)
     CU_ASSERT_EQUAL (cm_histogram_quantile (&parts[0], step / 20.0),
-                     cm_histogram_quantile (&whole, step / 20.0));
-  CU_ASSERT_EQUAL (cm_histogram_count_below (&whole, 1024), (1023 + 6) / 7);
+                     cm_histogram_quantile (&combined, step / 20.0));
+  CU_ASSERT_EQUAL (cm_histogram_count_below (&combined, 1024), (1023 + 6) / 7);
   cm_histogram_clear (&parts[0]);
   cm_histogram_clear (&parts[1]);
-  cm_histogram_clear (&whole);
+  cm_histogram_clear (&combined);
 }
 
 static const CmMetricDef ended = {
