--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -10,12 +10,12 @@
 #define SAMPLE_INTERVAL (100 * KNL_MSEC)
 #define MAX_TOKENS      60
 
-/* Limits after what each kind of caller waits for. */
+/* Request deadlines: callers of long prompts wait longer than those of short ones. */
 #define SHORT_LIMIT (20 * KNL_SEC)
 #define LONG_LIMIT  (180 * KNL_SEC)
 #define LONG_TOKENS 100000
 
-/* Part of all requests in each range, and the range in tokens: one in fifty is over 100,000. */
+/* Fraction of all requests in each range of prompt tokens: one in fifty exceeds 100,000. */
 static const struct
 {
   double part;
@@ -48,7 +48,7 @@
   return NULL;
 }
 
-/* Mean of a length that is uniform in its logarithm over each range. */
+/* Mean prompt length; within each range the logarithm of the length is distributed uniformly. */
 static double
 mean_tokens (void)
 {
@@ -111,8 +111,8 @@
   g_array_append_val (bench->tokens, tokens);
 }
 
-/* An arrival is drawn whole before it is left out, so that both runs of a pair see the same others.
- */
+/* All random values of an arrival are drawn before it may be left out, so that runs with and
+ * without long prompts see the same other arrivals. */
 static void
 arrive (Bench *bench)
 {
@@ -221,7 +221,7 @@
                              "\"fields\":{\"long-share\":%.2f}}]",
                              bench->options->long_share);
   if (!fk_deployment_apply (bench->deployment, changes))
-    g_error ("the long share was not accepted");
+    g_error ("the change of long-share was not accepted");
   g_free (changes);
 }
 
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /**
- * One measurement of a fleet under load: a deployment in memory, requests that
- * arrive at random from a seed, and what their callers saw. Times are those of
- * the paused clock, so a run gives the same figures on every machine.
+ * Measures a fleet under load: a deployment in memory, requests that arrive at
+ * random from a seed, and the results that their callers saw. Times come from the
+ * paused clock, so a run gives the same figures on every machine.
  */
 
 #include "common/histogram.h"
@@ -14,7 +14,7 @@
 #define BENCH_CLASSES    EN_LENGTH_CLASSES
 #define BENCH_WORKSPACES 10
 
-/** A user's fleet. */
+/** The size of a user's fleet. */
 typedef struct
 {
   const char *name;
@@ -22,7 +22,7 @@
   KnlTime between_zones; /**< one way */
 } BenchProfile;
 
-/** "lantern" or "groove" after the brief's sizes; NULL for another name. */
+/** The profile "lantern" or "groove"; NULL for any other name. */
 const BenchProfile *bench_profile_find (const char *name);
 
 typedef struct
@@ -30,10 +30,10 @@
   const BenchProfile *profile;
   const char *router;
   guint entries;
-  double load;        /**< offered prefill tokens as a part of what the engines can do */
+  double load;        /**< offered prefill tokens as a fraction of the engines' capacity */
   gboolean with_long; /**< FALSE: the same arrivals without those over 100,000 tokens */
-  double long_share;  /**< of the service; 0: the schema's default */
-  guint flood;        /**< further load of workspace 9 as a multiple of its own; 0: none */
+  double long_share;  /**< long-share of the service; 0: the schema's default */
+  guint flood;        /**< additional load of workspace 9, a multiple of its own; 0: none */
   guint32 seed;
   KnlTime duration;
 } BenchOptions;
@@ -44,11 +44,11 @@
   CmHistogram workspace_first[BENCH_WORKSPACES]; /**< of requests up to 16,000 tokens */
   guint64 requests[BENCH_CLASSES];
   guint64 done[BENCH_CLASSES];
-  guint64 refused[BENCH_CLASSES]; /**< at once, not run */
+  guint64 refused[BENCH_CLASSES]; /**< refused before they ran */
   guint64 failed[BENCH_CLASSES];
-  guint64 done_tokens;  /**< prompt tokens of answers that were whole and in time */
-  guint64 memory_waits; /**< how often an engine's next request waited for memory */
-  guint64 overrun;      /**< engine samples with waiting requests while another engine was idle */
+  guint64 done_tokens;  /**< prompt tokens of answers that were complete and in time */
+  guint64 memory_waits; /**< how often the next request of an engine's queue waited for memory */
+  guint64 overrun; /**< samples in which one engine had waiting requests while another was idle */
   guint64 samples;
   guint64 platform_writes;
   guint64 platform_reads;
--- a/bench/gateway_cost.c
+++ b/bench/gateway_cost.c
@@ -1,5 +1,6 @@
-/** What the gateway's own work costs in processor time: a configuration of many routes, and the
- * datagrams that instances tell each other. Prints JSON lines; figures depend on the machine. */
+/** Measures the gateway's processor time for decoding a configuration of many routes, and for
+ * unpacking the datagrams that instances send to each other. Prints JSON lines; the figures depend
+ * on the machine. */
 
 #include <stdlib.h>
 #include <string.h>
@@ -12,7 +13,7 @@
 
 #define ROUNDS 50
 
-/* Bytes of a value that a feed takes at a time. */
+/* Bytes of a value that a feed decodes in one slice. */
 #define SLICE 16384
 
 static double
@@ -24,10 +25,10 @@
   return (double)now.tv_sec * 1e6 + (double)now.tv_nsec / 1e3;
 }
 
-/* Processor time of taking answers in, in microseconds. */
+/* Processor time of decoding answers, in microseconds. */
 typedef struct
 {
-  double longest; /* slice */
+  double longest; /* of a single slice */
   double total;
 } Cost;
 
@@ -40,7 +41,7 @@
   cost->total += took;
 }
 
-/* As a feed does it: the answer in one slice, then the value in pieces. */
+/* Decodes like a feed: parses the answer in one slice, then decodes the value piece by piece. */
 static void
 take_in (PlConfigDecoder *decoder, const char *text, gsize length, Cost *cost)
 {
--- a/bench/main.c
+++ b/bench/main.c
@@ -1,4 +1,4 @@
-/** One measurement from the command line; scripts/bench runs the comparisons. */
+/** Runs one measurement of a fleet from the command line; scripts/bench runs the comparisons. */
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -40,7 +40,7 @@
           (double)cm_histogram_quantile (histogram, 0.99) / 1000);
 }
 
-/* Median and range over the seeds. */
+/* Prints the median and the range over the seeds; sorts `values`. */
 static void
 print_range (const char *title, const char *what, GArray *values)
 {
@@ -131,16 +131,19 @@
                   .seconds = 120 };
   const GOptionEntry entries[] = {
     { "profile", 0, 0, G_OPTION_ARG_STRING, &flags.profile, "lantern or groove", "NAME" },
-    { "router", 0, 0, G_OPTION_ARG_STRING, &flags.router, "Way of choosing engines", "NAME" },
+    { "router", 0, 0, G_OPTION_ARG_STRING, &flags.router, "Strategy for choosing engines", "NAME" },
     { "entries", 0, 0, G_OPTION_ARG_INT, &flags.entries, "Entry instances", "N" },
-    { "load", 0, 0, G_OPTION_ARG_DOUBLE, &flags.load, "Part of what the engines can do", "X" },
+    { "load", 0, 0, G_OPTION_ARG_DOUBLE, &flags.load, "Load as a fraction of the engines' capacity",
+      "X" },
     { "long-share", 0, 0, G_OPTION_ARG_DOUBLE, &flags.long_share,
-      "Part of the engines for long prompts", "X" },
-    { "no-long", 0, 0, G_OPTION_ARG_NONE, &flags.no_long, "Leave out over 100,000 tokens", NULL },
-    { "flood", 0, 0, G_OPTION_ARG_INT, &flags.flood, "Further load of workspace 9", "N" },
+      "Fraction of the engines for long prompts", "X" },
+    { "no-long", 0, 0, G_OPTION_ARG_NONE, &flags.no_long, "Leave out prompts over 100,000 tokens",
+      NULL },
+    { "flood", 0, 0, G_OPTION_ARG_INT, &flags.flood,
+      "Additional load of workspace 9, a multiple of its own", "N" },
     { "seed", 0, 0, G_OPTION_ARG_INT, &flags.seed, "First seed", "N" },
     { "seeds", 0, 0, G_OPTION_ARG_INT, &flags.seeds, "Number of seeds", "N" },
-    { "seconds", 0, 0, G_OPTION_ARG_INT, &flags.seconds, "Offered load on the clock", "N" },
+    { "seconds", 0, 0, G_OPTION_ARG_INT, &flags.seconds, "Duration of the offered load", "N" },
     { "header", 0, 0, G_OPTION_ARG_NONE, &flags.header, "Print the column names only", NULL },
     { NULL },
   };
--- a/bench/policies.c
+++ b/bench/policies.c
@@ -9,30 +9,30 @@
 #include "serve/router.h"
 #include "tests/fakes/pass_engine.h"
 
-/* After the last arrival, for the answers to end. */
+/* Time after the last arrival, for the answers to end. */
 #define RUN_OUT (30 * KNL_SEC)
 
-/* Load moves between many short and many long prompts in phases of this length. */
+/* The load alternates between many short and many long prompts in phases of this length. */
 #define PHASE (10 * KNL_SEC)
 
-/* A late answer's part of the worth of one in time. */
+/* Worth of a late answer as a fraction of that of an answer in time. */
 #define LATE_WORTH 0.25
 
 typedef struct Sim Sim;
 
-/** Kinds of requests, after the users' sheets. */
+/** A kind of request, as the users specified it. */
 typedef struct
 {
   const char *name;
   const char *prefix;
   double per_second;
-  double phases[2]; /* factors of it: many short prompts, many long ones */
+  double phases[2]; /* factors of per_second in the phases of many short and many long prompts */
   double prompt;    /* mean tokens */
-  double spread;    /* of the prompts, standard deviation by mean */
-  double events;
+  double spread;    /* standard deviation of the prompt tokens divided by their mean */
+  double events;    /* mean number of events */
   double worth;
-  KnlTime objective;
-  KnlTime gap;
+  KnlTime objective; /* time to the first event */
+  KnlTime gap;       /* objective of the longest gap between two events */
 } Kind;
 
 static const Kind kinds[BENCH_KINDS] = {
@@ -85,7 +85,7 @@
 struct BenchPolicy
 {
   const char *name;
-  /** Fills the request's placement; returns the time after which to ask again, 0: it goes. */
+  /** Fills the request's placement; returns the delay until the next try, or 0 to send it now. */
   KnlTime (*place) (Request *request, const SvDemand *demand);
 };
 
@@ -100,7 +100,7 @@
   const SvService *service;
   GRand *rand;
   Instance *instances;
-  GPtrArray *engines; /* FkPassEngine, by the number that its address ends with */
+  GPtrArray *engines; /* FkPassEngine, indexed by the number that is its endpoint's id */
   guint64 next;
   double owed;
   double earned;
@@ -112,7 +112,7 @@
   return knl_kernel_now (self->kernel);
 }
 
-/* What one instance tells another. */
+/* An update of load and prefill state that one instance sends to another. */
 typedef struct
 {
   Instance *to;
@@ -276,7 +276,7 @@
     launch (request);
 }
 
-/* The load that a policy other than the router's enters for its choice. */
+/* Fills in the placement and its load for a policy that doesn't use the router. */
 static void
 fill (Request *request, const SvDemand *demand, SvEndpoint *first, guint parts)
 {
@@ -338,7 +338,7 @@
   return 0;
 }
 
-/* One helper for each 10,000 tokens. */
+/* Uses one helper for each 10,000 prompt tokens. */
 static KnlTime
 place_wide (Request *request, const SvDemand *demand)
 {
@@ -365,7 +365,7 @@
   return wait > 0 ? wait + g_rand_int_range (request->sim->rand, 0, 5 * KNL_MSEC) : 0;
 }
 
-/* The router's choice, sent at once. */
+/* Sends by the router's choice at once, without deferring. */
 static KnlTime
 place_undeferred (Request *request, const SvDemand *demand)
 {
@@ -399,7 +399,7 @@
   return NULL;
 }
 
-/* Log-normal with that mean and spread. */
+/* Draws from a log-normal distribution with this mean, `spread` being standard deviation / mean. */
 static double
 draw (GRand *rand, double mean, double spread)
 {
@@ -431,7 +431,7 @@
   place (request);
 }
 
-/* One millisecond of arrivals. */
+/* Draws the arrivals of one millisecond. */
 static void
 offer (Sim *self)
 {
--- a/bench/policies.h
+++ b/bench/policies.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * Load on a fleet of pass engines, placed by one of several policies, from one
- * or more instances that hear of each other with a delay.
+ * Simulates load on a fleet of pass engines. One of several policies places the
+ * requests of one or more instances, which see each other's load with a delay.
  */
 
 #include "common/histogram.h"
@@ -15,7 +15,7 @@
   const char *policy;
   guint engines;
   guint instances;
-  KnlTime delay; /**< from one instance to another */
+  KnlTime delay; /**< until an update of one instance reaches the others */
   double load;   /**< multiplies all arrivals */
   guint seconds;
   guint seed;
@@ -24,23 +24,23 @@
 typedef struct
 {
   guint asked;
-  guint in_time; /**< first event and all pauses within what counts in full */
-  CmHistogram first;
-  CmHistogram pause; /**< longest of each request */
+  guint in_time;     /**< first event and all gaps within their objectives */
+  CmHistogram first; /**< time to the first event */
+  CmHistogram pause; /**< longest gap between two events of each request */
 } BenchKindResult;
 
 typedef struct
 {
   BenchKindResult kinds[BENCH_KINDS];
-  double earned; /**< of what is owed; late answers count a quarter */
-  double busy;   /**< part of the engines' time that went into reading */
+  double earned; /**< fraction of the worth of all requests; late answers count a quarter */
+  double busy;   /**< fraction of the engines' time that went into prefill */
 } BenchPolicyResult;
 
 extern const char *const bench_kind_names[BENCH_KINDS];
 
-/** Names of the policies, ended by NULL. */
+/** Names of the policies, NULL-terminated. */
 const char *const *bench_policy_names (void);
 
-/** FALSE: there is no such policy. Clear the result afterwards. */
+/** Returns FALSE if there is no such policy. Otherwise clear the result afterwards. */
 gboolean bench_policy_run (const BenchPolicyOptions *options, BenchPolicyResult *result);
 void bench_policy_result_clear (BenchPolicyResult *result);
--- a/bench/policies_main.c
+++ b/bench/policies_main.c
@@ -1,4 +1,4 @@
-/** Policies of placement side by side, over seeds: medians and ranges. */
+/** Compares placement policies over several seeds; prints medians and ranges. */
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -78,11 +78,12 @@
     .engines = 18, .instances = 6, .delay_ms = 4, .load = 1, .seconds = 40, .seeds = 7
   };
   GOptionEntry entries[] = {
-    { "policy", 0, 0, G_OPTION_ARG_STRING, &flags.policy, "only this one", "NAME" },
+    { "policy", 0, 0, G_OPTION_ARG_STRING, &flags.policy, "run only this policy", "NAME" },
     { "engines", 0, 0, G_OPTION_ARG_INT, &flags.engines, NULL, "N" },
     { "instances", 0, 0, G_OPTION_ARG_INT, &flags.instances, NULL, "N" },
-    { "delay-ms", 0, 0, G_OPTION_ARG_INT, &flags.delay_ms, "from one instance to another", "MS" },
-    { "load", 0, 0, G_OPTION_ARG_DOUBLE, &flags.load, "times all arrivals", "X" },
+    { "delay-ms", 0, 0, G_OPTION_ARG_INT, &flags.delay_ms, "delay from one instance to another",
+      "MS" },
+    { "load", 0, 0, G_OPTION_ARG_DOUBLE, &flags.load, "factor of all arrival rates", "X" },
     { "seconds", 0, 0, G_OPTION_ARG_INT, &flags.seconds, NULL, "S" },
     { "seeds", 0, 0, G_OPTION_ARG_INT, &flags.seeds, NULL, "N" },
     { NULL },
--- a/bench/scale.c
+++ b/bench/scale.c
@@ -1,8 +1,8 @@
 /**
- * What control costs a daemon, from few to many instances: bytes on links,
- * processor time, memory, and the table's reads and writes in all, with the
- * fleet at rest and with configuration changes. The slopes go into
- * docs/CAPACITY.md. All daemons run in this one process over links in memory;
+ * Measures the cost of coordination per daemon, from few to many instances: bytes
+ * on links, processor time, memory, and the total reads and writes of the table,
+ * without requests, with or without configuration changes. The slopes go into
+ * docs/CAPACITY.md. All daemons run in this process over links in memory; the
  * processor time is that of the whole process, engine models included.
  */
 
@@ -100,7 +100,7 @@
   options.engine.any_model = TRUE;
   deployment = fk_deployment_new (&options);
   if (!fk_deployment_apply (deployment, changes))
-    printf ("the configuration was not in force everywhere within 30 s\n");
+    printf ("the configuration was not in force on all instances within 30 s\n");
   knl_paused_clock_advance (fk_deployment_clock (deployment), WARM_UP);
   from = totals_now (deployment);
   run_for (deployment, scale);
