--- a/examples/duties.c
+++ b/examples/duties.c
@@ -1,6 +1,7 @@
 /**
- * Divides eight duties among any number of processes, each duty done by one
- * process at a time: the library's membership and leases without the daemons.
+ * Divides eight duties among any number of processes, so that one process at a
+ * time performs each duty. Uses the library's membership and leases without the
+ * daemons.
  *
  *     duties --name=a --address=127.0.0.1:7001 --peers=b=127.0.0.1:7002
  *            --platform-address=127.0.0.1:7100 --secret=s
@@ -153,7 +154,8 @@
   wr_link_set_events (link, &link_events, peer);
 }
 
-/* Membership asks for frames to be sent; those that find no open link may be lost. */
+/* Sends a frame for the membership protocol, which tolerates the loss of frames for which no link
+ * is open yet. */
 static void
 send_frame (const Alderturn__Member *to, const Alderturn__Frame *frame, gpointer data)
 {
@@ -185,7 +187,8 @@
   g_ptr_array_add (data, member->name);
 }
 
-/* Who is alive should share the duties. A wrong view does no harm: the leases decide. */
+/* All live members share the duties. An outdated member list is harmless, as the leases decide
+ * which process holds a duty. */
 static void
 on_member (const Alderturn__Member *member, gpointer data)
 {
@@ -208,7 +211,7 @@
   fflush (stdout);
 }
 
-/* The fencing number goes with whatever the duty orders others to do. */
+/* Performs one step of a duty. Orders to other processes must carry the fencing number. */
 static void
 work (Node *node, guint duty, guint64 fence)
 {
@@ -286,7 +289,7 @@
   event_base_loopexit (((Node *)data)->base, NULL);
 }
 
-/* Released duties go to the others at once, without waiting for the leases to lapse. */
+/* Releases the leases, so that other processes acquire them without waiting for their expiry. */
 static void
 on_signal (evutil_socket_t number, short what, void *data)
 {
