--- a/tests/fakes/caller.h
+++ b/tests/fakes/caller.h
@@ -1,8 +1,9 @@
 #pragma once
 
 /**
- * A caller in memory: submits one request to an entry's core, checks that what
- * comes back is its own answer in order, and notes how and when it ended.
+ * A caller in memory: submits one request to an entry's core, checks that the
+ * tokens it receives are those of its own answer, in order, and records the
+ * request's outcome and times.
  */
 
 #include "entry/core.h"
@@ -13,7 +14,7 @@
 {
   EnCaller base;
   KnlPausedClock *clock;
-  guint64 number; /**< 0 once it has ended inside the submission */
+  guint64 number; /**< of the request in the core; 0: it ended during the submission */
   guint64 prompt_hash;
   guint64 received; /**< tokens */
   guint64 max_tokens;
@@ -24,18 +25,18 @@
   guint entry;
   guint64 entry_incarnation;
   KnlTime submitted_at;
-  KnlTime first_at; /**< 0: no token came */
-  KnlTime ended_at; /**< 0: it has not ended */
+  KnlTime first_at; /**< when the first tokens were received; 0: none yet */
+  KnlTime ended_at; /**< 0: not yet */
   KnlTime limit;
-  guint ends; /**< how often it was told an end */
+  guint ends; /**< how often an end was reported; correct is 1 */
   gboolean failed;
-  gboolean wrong; /**< another's tokens, out of order, or a wrong count */
+  gboolean wrong; /**< tokens of another request, out of order, or of a wrong count */
   EnOutcome outcome;
   EnErrorCode code;
   KnlTime retry_after;
 } FkCaller;
 
-/** Submits a completion of `prompt_tokens` tokens, whose text starts with `unique`. */
+/** Submits a completion with a prompt of `prompt_tokens` tokens that starts with `unique`. */
 FkCaller *fk_caller_complete (KnlPausedClock *clock,
                               EnCore *core,
                               guint workspace,
@@ -51,5 +52,6 @@
                              const char *key,
                              KnlTime limit);
 
-/** The core must have forgotten it: ended, told that it is gone, or freed. */
+/** The core must not refer to it any longer: the request has ended, the caller was reported as
+ * disconnected, or the core is freed. */
 void fk_caller_free (FkCaller *caller);
--- a/tests/fakes/member_cluster.c
+++ b/tests/fakes/member_cluster.c
@@ -171,7 +171,7 @@
   return member != NULL ? member->state : 0;
 }
 
-/** What is waited for: every running node has `name` in `state`. */
+/** The awaited condition: every running node has the member `name` in `state`. */
 typedef struct
 {
   FkCluster *cluster;
--- a/tests/fakes/memory_call.c
+++ b/tests/fakes/memory_call.c
@@ -79,7 +79,8 @@
   fk_call_release (call);
 }
 
-/* Pinned: what the client does with it may end the call, which must outlive that. */
+/* Pins the call during the callback, in which the client may end it: the call must not be freed
+ * before the callback returns. */
 static void
 take (FkCall *call, gpointer content)
 {
--- a/tests/fakes/memory_call.h
+++ b/tests/fakes/memory_call.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /**
- * A call of a client in memory: it travels to the far end, is carried out on that
- * end's kernel, and is answered by one piece or several on the client's own.
- * What is under way is carried out even when its client has given up or is frozen.
+ * A client's call in memory: it is transmitted to the far end, executed on that
+ * end's kernel, and answered by one or more pieces on the client's kernel. A call
+ * in flight is executed even when its client has given up or is frozen.
  */
 
 #include "kernel/kernel.h"
@@ -14,18 +14,19 @@
 typedef struct
 {
   KnlKernel *kernel;
-  KnlTime latency; /**< of one way */
+  KnlTime latency; /**< in one direction */
   guint64 last_id;
   GHashTable *open; /* id -> FkCall */
 } FkCalls;
 
 typedef struct
 {
-  /** The call is at the far end. */
+  /** The call has arrived at the far end. */
   void (*arrive) (FkCall *call);
-  /** A piece of the answer is at the client, NULL: the limit has passed. fk_call_end() ends it. */
+  /** The client receives a piece of the answer; NULL: the time limit has passed. Both leave it to
+   * the callee to end the call with fk_call_end(). */
   void (*take) (FkCall *call, gpointer piece);
-  /** The client's end is closed; may be NULL. */
+  /** The client has closed its end; may be NULL. */
   void (*left) (FkCall *call);
   /** The far end's process has ended. */
   void (*lost) (FkCall *call);
@@ -39,44 +40,47 @@
   const FkCallClass *klass;
   guint64 id;
   FkCalls *calls;        /* NULL once it has ended for the client */
-  KnlKernel *far;        /* where it travels to */
-  GHashTable *under_way; /* set of the far end's calls */
-  KnlTimerId travel;
-  gboolean attached; /* the far end goes on with it after arrive() */
-  guint pins;        /* uses on the stack */
+  KnlKernel *far;        /* kernel of the far end */
+  GHashTable *under_way; /* set of the far end's calls in flight; contains this one */
+  KnlTimerId travel;     /* arrival at the far end */
+  gboolean attached;     /* the far end still works on it after arrive() */
+  guint pins;            /* callbacks on the stack that use it; it isn't freed meanwhile */
   KnlTimerId limit;
-  GQueue pieces; /* on their way to the client */
+  GQueue pieces; /* Piece, in transit to the client */
 };
 
 void fk_calls_init (FkCalls *calls, KnlKernel *kernel);
 
-/** Ends all calls; those under way are still carried out. */
+/** Ends all calls; those in flight are still executed. */
 void fk_calls_clear (FkCalls *calls);
+
+/** Ends the call with this id, if it is still open. */
 void fk_calls_drop (FkCalls *calls, guint64 id);
 
 /** Opens `call`, allocated by the caller. */
 void fk_call_open (FkCall *call, const FkCallClass *klass, FkCalls *calls, KnlTime limit);
 
-/** Sets the longest time until the next piece. */
+/** Sets the time limit for the next piece, counted from now. */
 void fk_call_set_limit (FkCall *call, KnlTime limit);
 
-/** Sends it to `far`, where `under_way` lists it until that end is done with it. */
+/** Sends the call to `far`; `under_way` contains it until the far end has finished with it. */
 void fk_call_send (FkCall *call, KnlKernel *far, GHashTable *under_way);
 
-/** In arrive(): has it arrive once more after `delay`. */
+/** Called within arrive(): arrive() is called again after `delay`. */
 void fk_call_arrive_later (FkCall *call, KnlTime delay);
 
-/** The far end goes on with it, or is done with it. */
+/** Whether the far end keeps working on the call, or has finished with it. */
 void fk_call_set_attached (FkCall *call, gboolean attached);
 
-/** Takes `piece` over, which comes after one way and `delay`; freed when the call has ended. */
+/** Sends `piece` to the client, where it arrives after `delay` and the latency. Takes ownership;
+ * the piece is freed at once if the call has ended. */
 void fk_call_answer (FkCall *call, KnlTime delay, gpointer piece);
 
-/** Closes the client's end; its pieces are dropped. */
+/** Closes the client's end; pieces in transit are dropped. */
 void fk_call_end (FkCall *call);
 
-/** Frees the call unless an end still has it. */
+/** Frees the call unless one of the ends still uses it. */
 void fk_call_release (FkCall *call);
 
-/** All calls of a far end that goes away; `told`: with lost(). */
+/** Removes all calls of a far end that goes away; with `told`, lost() is called for each. */
 void fk_calls_lose (GHashTable *under_way, gboolean told);
--- a/tests/fakes/memory_engine.c
+++ b/tests/fakes/memory_engine.c
@@ -8,20 +8,20 @@
 
 typedef struct
 {
-  int status; /* HTTP; 0: none came */
+  int status; /* HTTP status; 0: the call failed without an answer */
   EpFailureKind failure;
   json_t *json;
 } Answer;
 
 typedef struct Call Call;
 
-/* One call that is no stream. */
+/* A call that isn't a stream. */
 struct Call
 {
   FkCall base;
   Endpoint *endpoint;
   FkConnectionFault fault;
-  const char *path; /* of an engine's call; NULL: a plain service's */
+  const char *path; /* of a call to an engine; NULL: a call to a plain service */
   json_t *body;
   char *service_path;
   char *key;
@@ -116,7 +116,7 @@
   call->finish (call, piece != NULL ? piece : &none);
 }
 
-/* Takes `json` over. */
+/* Takes ownership of `json`. */
 static void
 answer (Call *call, int status, json_t *json, EpFailureKind failure, KnlTime delay)
 {
@@ -183,7 +183,7 @@
   .free_piece = answer_free,
 };
 
-/* Takes what `from` owns over. */
+/* Copies `from` and takes ownership of its allocated members. */
 static EpCallId
 call_start (EpClient *base, const char *address, KnlTime limit, const Call *from)
 {
--- a/tests/fakes/memory_engine_internal.h
+++ b/tests/fakes/memory_engine_internal.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** What the files of the fleet in memory share; not for its users. */
+/** Declarations shared by the sources of the fleet in memory; not part of its interface. */
 
 #include "tests/fakes/memory_call.h"
 #include "tests/fakes/memory_engine.h"
@@ -16,10 +16,10 @@
   SdEngine *engine;   /* NULL: down, or a plain service */
   SdService *service; /* NULL: an engine */
   gboolean down;
-  GHashTable *under_way; /* set of FkCall */
-  GPtrArray *ran;        /* GArray of SdRan, of each engine that has run here */
+  GHashTable *under_way; /* set of FkCall, in flight */
+  GPtrArray *ran;        /* GArray of SdRan, one for each incarnation of the engine */
   KnlTimerId crash;
-  KnlTimerId weights; /* on their way */
+  KnlTimerId weights; /* end of the load of model weights */
   FkConnectionFault fault;
   guint fault_frames;
   guint fault_count;
@@ -42,7 +42,9 @@
 
 Endpoint *fk_fleet_find (FkFleet *fleet, const char *address);
 
-/** The fault of a connection that is made now; FK_CONNECTION_REFUSED when it is down. */
+/** The fault of a connection made now; FK_CONNECTION_REFUSED when the endpoint is down or NULL.
+ * Sets
+ * `*frames` to the number of lines that still arrive. */
 FkConnectionFault fk_endpoint_connect (Endpoint *endpoint, guint *frames);
 
 /** A stream's first member is its FkCall. */
--- a/tests/fakes/memory_platform.c
+++ b/tests/fakes/memory_platform.c
@@ -37,14 +37,14 @@
   CallKind kind;
   FkStore *store;
   FkPlatformFault fault;
-  gboolean waited; /* for a slow table */
+  gboolean waited; /* the delay of a slow table has passed */
   json_t *transaction;
   char *key;
   char *after;
   gboolean prefix;
   guint limit_rows;
   TbStatus status;
-  json_t *answer; /* as docs/ADAPTERS.md has it */
+  json_t *answer; /* in the format of docs/ADAPTERS.md */
   union
   {
     TbTransactFunc transact;
@@ -113,7 +113,7 @@
   free (text);
 }
 
-/* The answer goes through the text that the client over HTTP would read. */
+/* The answer is converted to text and parsed again, as by the client over HTTP. */
 static void
 call_take (FkCall *base, gpointer answered)
 {
@@ -165,7 +165,7 @@
   .destroy = call_destroy,
 };
 
-/* Takes the strings of `from` over. */
+/* Copies `from` and takes ownership of its strings. */
 static TbCallId
 call_start (TbTable *platform, const Call *from)
 {
--- a/tests/fakes/memory_platform.h
+++ b/tests/fakes/memory_platform.h
@@ -4,9 +4,9 @@
  * The platform in memory, for tests under a paused clock: one store, and a
  * TbTable for each daemon's kernel.
  *
- * Calls travel to the store and are carried out by the store's kernel, so a
- * write that is under way takes effect even while its sender is frozen. The
- * store's own faults are those of its table and list; those here hit one client.
+ * Calls are transmitted to the store and executed on the store's kernel, so a
+ * write in flight takes effect even while its sender is frozen. The faults here
+ * affect one client; faults of the whole store are set at its table and list.
  */
 
 #include "table/table.h"
@@ -18,15 +18,16 @@
 typedef enum
 {
   FK_PLATFORM_NORMAL,
-  FK_PLATFORM_UNREACHABLE, /**< calls fail at once, without effect */
-  FK_PLATFORM_SILENT,      /**< calls are lost on their way; they end at their limit */
-  FK_PLATFORM_DEAF,        /**< calls arrive, answers are lost; they end at their limit */
+  FK_PLATFORM_UNREACHABLE, /**< calls fail with TB_UNAVAILABLE after the latency, without effect */
+  FK_PLATFORM_SILENT,      /**< calls are lost in transit and end at their time limit */
+  FK_PLATFORM_DEAF, /**< calls take effect, but the answers are lost; they end at their time limit
+                     */
 } FkPlatformFault;
 
-/** A store on `kernel`, which no daemon should share. Without rate limits. */
+/** A store without rate limits on `kernel`, which no daemon should share. */
 FkStore *fk_store_new (KnlKernel *kernel, KnlTime instances_lag);
 
-/** After all its clients. */
+/** To be called after all clients are freed. */
 void fk_store_free (FkStore *store);
 
 SdTable *fk_store_table (FkStore *store);
--- a/tests/fakes/memory_stream.c
+++ b/tests/fakes/memory_stream.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* One line of a stream on its way to the client, or the way it failed. */
+/* A line of a stream in transit to the client, or the failure of the stream. */
 typedef struct
 {
   gboolean failed;
@@ -21,7 +21,7 @@
   json_t *imports;
   FkConnectionFault fault;
   guint frames_left;
-  gboolean mute;     /* no more lines reach the client */
+  gboolean mute;     /* no further lines are sent to the client */
   KnlTimerId detach; /* on the endpoint's kernel, while attached */
   KnlTime latency;
   guint64 next_offset;
@@ -105,7 +105,7 @@
   stream->events->on_end (stream, frame->count, frame->text, stream->data);
 }
 
-/* The checks of the client over HTTP, so that both fail alike. */
+/* Makes the same checks as the client over HTTP, so that both fail alike. */
 static void
 take_frame (EpStream *stream, const SdFrame *frame)
 {
@@ -136,7 +136,7 @@
   if (line == NULL)
     {
       fail (stream, stream->fault == FK_CONNECTION_NO_CONNECT ? EP_NOT_SENT : EP_CUT, FALSE,
-            "time is up");
+            "time limit exceeded");
       return;
     }
   fk_call_set_limit (call, stream->generate.idle_limit);
@@ -160,7 +160,7 @@
   stream->mute = TRUE;
 }
 
-/* FALSE: this line and all after it stay away. */
+/* FALSE: the fault drops this line and all later ones. */
 static gboolean
 passes_fault (EpStream *stream, gboolean last)
 {
--- a/tests/fakes/pass_engine.c
+++ b/tests/fakes/pass_engine.c
@@ -2,14 +2,14 @@
 
 #include "serve/engine_model.h"
 
-/* Tokens of an answer that one event brings are as many as a pass has steps. */
+/* One event brings as many tokens of an answer as a pass has steps (`stride`). */
 
-/** A part of a prompt at one engine. */
+/** The part of a prompt that one engine prefills. */
 typedef struct
 {
   FkPassRequest *request;
   FkPassEngine *engine;
-  double tokens; /* not read yet */
+  double tokens; /* not prefilled yet */
   double ms_per_token;
 } Part;
 
@@ -20,8 +20,8 @@
   const FkPassEvents *events;
   gpointer data;
   Part parts[FK_PASS_HELPERS + 1];
-  guint unread; /* parts */
-  guint made;   /* events */
+  guint unread; /* parts whose prefill hasn't ended */
+  guint made;   /* events so far */
 };
 
 struct FkPassEngine
@@ -30,16 +30,16 @@
   const SvEngineSpec *spec;
   GQueue waiting; /* FkPassRequest */
   GPtrArray *running;
-  GQueue parts;       /* Part, in the order in which they are read */
-  GPtrArray *read;    /* Part, read in the pass that is under way */
-  GPtrArray *writers; /* FkPassRequest, of the pass that is under way */
-  guint steps;        /* left of that pass, those under way included */
-  guint plain;        /* steps under way that read nothing; 0: one that reads */
-  KnlTime began_at;   /* the steps under way */
+  GQueue parts;       /* Part, in the order of their prefill */
+  GPtrArray *read;    /* Part, whose prefill ended in the current pass */
+  GPtrArray *writers; /* FkPassRequest, decoding in the current pass */
+  guint steps;        /* left of the current pass, including the current steps */
+  guint plain;        /* current steps, if they only decode; 0: the current step also prefills */
+  KnlTime began_at;   /* when the current steps began */
   double used_tokens;
   double read_ms;
-  KnlTimerId timer;   /* end of the steps under way; 0: idle */
-  gboolean is_ending; /* its events are being handed out; the next pass begins after that */
+  KnlTimerId timer;   /* end of the current steps; 0: idle */
+  gboolean is_ending; /* admitting requests or emitting events; begin_pass() must not be nested */
 };
 
 static void begin_pass (FkPassEngine *self);
@@ -97,7 +97,8 @@
          + context / 1000 * self->spec->context_ms_per_k;
 }
 
-/* Reads up to a chunk of what is first in the queue; returns the time that it takes, in ms. */
+/* Prefills up to `chunk` tokens from the head of the queue; returns the time that it takes, in ms.
+ */
 static double
 read_chunk (FkPassEngine *self)
 {
@@ -129,7 +130,7 @@
 
 static void on_steps_end (gpointer data);
 
-/* The next steps: one that reads, or all that are left of the pass where nothing waits. */
+/* Begins one step that also prefills, or all remaining steps of the pass if no part is queued. */
 static void
 begin_steps (FkPassEngine *self)
 {
@@ -149,7 +150,7 @@
   self->timer = knl_timer_start (self->kernel, time_of (ms), on_steps_end, self);
 }
 
-/* A part came while steps that read nothing are under way: the step that it fell into ends first.
+/* Shortens a run of decode-only steps when a part is queued: prefill begins after the current step.
  */
 static void
 cut_plain_steps (FkPassEngine *self)
@@ -241,7 +242,8 @@
     end_request (request);
 }
 
-/* A prompt that others helped to read may find its own engine idle. */
+/* The last part of a prompt may end at a helper while the request's own engine is idle; that engine
+ * then has to begin a pass. */
 static void
 end_pass (FkPassEngine *self)
 {
--- a/tests/fakes/pass_engine.h
+++ b/tests/fakes/pass_engine.h
@@ -1,14 +1,14 @@
 #pragma once
 
 /**
- * A model engine that works in passes, as the users' platform describes it, in
- * memory and on a paused clock.
+ * A model of an engine that works in forward passes, as the users' platform
+ * describes them, in memory and on a paused clock.
  *
- * A pass with requests that write makes `stride` steps and brings each of them
- * one event at its end; each step also reads up to `chunk` tokens of prompts.
- * Without writers a pass is one step. Parts of prompts that other engines run go
- * before everything else, the newest first. Requests beyond the slots or the
- * memory wait in the order in which they came.
+ * A pass with decoding requests makes `stride` steps and brings each of them one
+ * event at its end; each step also prefills up to `chunk` prompt tokens. Without
+ * decoding requests a pass is one step. Parts of prompts that belong to requests of
+ * other engines are prefilled first, the newest first. Requests that exceed the
+ * slots or the memory wait in the order of their arrival.
  */
 
 #include "kernel/kernel.h"
@@ -21,9 +21,9 @@
 
 typedef struct
 {
-  /** An event has come, the first with `index` 0. */
+  /** An event of the request; the first has `index` 0. */
   void (*event) (gpointer data, guint index);
-  /** The last event has come; the request is freed afterwards. */
+  /** Follows the last event; the request is freed afterwards. */
   void (*done) (gpointer data);
 } FkPassEvents;
 
@@ -35,10 +35,11 @@
   guint n_helpers;
 } FkPassDemand;
 
-/** `spec` outlives the engine. */
+/** `spec` isn't copied and must outlive the engine. */
 FkPassEngine *fk_pass_engine_new (KnlKernel *kernel, const SvEngineSpec *spec);
 
-/** Its requests end without a word; those of other engines that it helps must have ended. */
+/** Its requests are freed without callbacks. Requests of other engines that it helps must have
+ * ended before. */
 void fk_pass_engine_free (FkPassEngine *engine);
 
 FkPassRequest *fk_pass_engine_submit (FkPassEngine *engine,
@@ -46,5 +47,5 @@
                                       const FkPassEvents *events,
                                       gpointer data);
 
-/** Time that it has spent reading so far, in ms. */
+/** Time that the engine has spent on prefill so far, in ms. */
 double fk_pass_engine_read_ms (const FkPassEngine *engine);
--- a/tests/faults/cluster.c
+++ b/tests/faults/cluster.c
@@ -8,7 +8,7 @@
 #define SECRET        "shared-secret"
 #define MAX_ARGUMENTS 40
 
-/* Quick, and each holds every prompt of the load alone. */
+/* Fast engines, each with memory for every prompt of the load. */
 static const char *const standard_engine[] = {
   "--capacity-tokens", "2000000", "--clock-factor", "40", NULL,
 };
@@ -43,7 +43,7 @@
     add (arguments, further[i], NULL);
 }
 
-/** Puts a proxy before a node that has its address already. */
+/** Starts a proxy in front of a node whose address is already set. */
 static void
 node_proxy (HnCluster *cluster, HnNode *node, const char *name)
 {
@@ -117,7 +117,7 @@
   g_assert (hn_await_count (node->process, "ready", NULL, NULL, 1));
 }
 
-/** What the daemons of an instance have in common. */
+/** Adds the flags that all daemons of an instance share. */
 static void
 add_common (Arguments *arguments, const HnInstance *instance)
 {
@@ -158,7 +158,8 @@
       hn_start (cluster->harness, "entry", "entry/alderturn-entry", arguments.list);
 }
 
-/** The platform knows its instances; here its stand-in is told. */
+/** Registers a process in the platform's list of instances. A real platform knows its instances;
+ * the stand-in has to be told. */
 static void
 list_process (HnCluster *cluster, const HnInstance *instance, const char *kind, const char *address)
 {
@@ -194,7 +195,8 @@
   list_process (cluster, instance, "entry", instance->entry.address);
 }
 
-/** Asks until an answer comes: grants of credits need leases first. */
+/** Sends requests until one is answered with 200: credits are granted only once the controllers
+ * hold their leases. */
 static void
 await_service (HnCluster *cluster, const HnInstance *instance)
 {
@@ -211,7 +213,7 @@
     g_assert (++tries < 10);
 }
 
-/** Applies the configuration from a file, as an operator would. */
+/** Applies the configuration from a file by alderturnctl, as an operator would. */
 static void
 configure (HnCluster *cluster)
 {
--- a/tests/faults/cluster.h
+++ b/tests/faults/cluster.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /**
- * The usual cluster of the tests of failures: a platform, engines, a plain
- * service, and instances with an entry and a controller each, in zones "a", "b"
- * and "c" in turn, with a standard configuration applied.
+ * The standard cluster of the fault tests: a platform, engines, a plain service,
+ * and instances with an entry and a controller each, spread over the zones "a",
+ * "b" and "c", with a standard configuration applied.
  */
 
 #include "harness.h"
@@ -19,8 +19,8 @@
 {
   HN_PROXY_LINK = 1 << 0,     /**< each entry to its own controller */
   HN_PROXY_PLATFORM = 1 << 1, /**< each controller to the platform */
-  HN_PROXY_ENGINE = 1 << 2,   /**< all to each engine */
-  HN_PROXY_SERVICE = 1 << 3,  /**< all to the plain service */
+  HN_PROXY_ENGINE = 1 << 2,   /**< all connections to each engine */
+  HN_PROXY_SERVICE = 1 << 3,  /**< all connections to the plain service */
 } HnProxies;
 
 typedef struct
@@ -28,19 +28,19 @@
   guint engines;   /**< 0: 2 */
   guint instances; /**< 0: 3 */
   HnProxies proxies;
-  const char *const *engine_arguments;     /**< further ones, NULL-terminated, or NULL */
+  const char *const *engine_arguments;     /**< additional flags, NULL-terminated, or NULL */
   const char *const *entry_arguments;      /**< likewise */
   const char *const *controller_arguments; /**< likewise */
-  const char *configuration;               /**< in place of the standard one, or NULL */
+  const char *configuration;               /**< replaces the standard configuration, or NULL */
 } HnClusterOptions;
 
-/** A process behind a proxy, or not: `reached` is where others connect. */
+/** A process, with or without a proxy in front of it. */
 typedef struct
 {
   HnProcess *process;
   const char *address;
-  const char *reached;
-  const char *control; /**< of the proxy, or NULL */
+  const char *reached; /**< where others connect: the proxy's address, or the process's own */
+  const char *control; /**< control address of the proxy, or NULL */
   HnProcess *proxy;
 } HnNode;
 
@@ -48,10 +48,10 @@
 {
   char name[16];
   const char *zone;
-  HnNode entry;          /**< address: callers' */
-  HnNode controller;     /**< address: links' */
-  HnNode platform;       /**< this controller's way to the platform */
-  const char *operators; /**< address of the controller's HTTP */
+  HnNode entry;          /**< its address is the one for callers */
+  HnNode controller;     /**< its address is the one for links */
+  HnNode platform;       /**< the platform as this controller reaches it */
+  const char *operators; /**< address of the controller's HTTP server for operators */
 } HnInstance;
 
 typedef struct
@@ -64,27 +64,29 @@
   HnInstance instances[HN_INSTANCES];
 } HnCluster;
 
-/** Starts all and waits until each entry is ready with the configuration; NULL-safe free below. */
+/** Starts all processes and waits until each entry is ready and serves the configuration. */
 HnCluster *hn_cluster_new (const HnClusterOptions *options);
 
-/** Ends all; FALSE as hn_harness_free(). */
+/** Ends all processes; returns the result of hn_harness_free(). */
 gboolean hn_cluster_free (HnCluster *cluster);
 
-/** Start a process anew where it was; the old one must be gone. */
+/** Starts a process again at its previous address; the old process must have ended. */
 void hn_cluster_start_entry (HnCluster *cluster, guint index);
 void hn_cluster_start_controller (HnCluster *cluster, guint index);
 void hn_cluster_start_engine (HnCluster *cluster, guint index);
 
-/** Sets a fault of a node's proxy, as docs/ADAPTERS.md and standin-proxy have it. */
+/** Sets a fault at a node's proxy, or at the node itself if it has none. The formats are those of
+ * standin-proxy and docs/ADAPTERS.md. */
 void hn_fault (HnCluster *cluster, const HnNode *node, const char *fault);
 
-/** Runs alderturnctl; its exit status, its output in `*output` (may be NULL; to be freed). */
+/** Runs alderturnctl and returns its exit status. Sets `*output` to its standard output, to be
+ * freed with g_free(); `output` may be NULL. */
 int hn_control (HnCluster *cluster, const char *command, char **output);
 
-/** Starts standin-load over all entries, for `milliseconds` at `rate` requests a second. */
+/** Starts standin-load on all entries, for `milliseconds` at `rate` requests a second. */
 HnProcess *hn_load_start (HnCluster *cluster, guint rate, guint milliseconds);
 
-/** What a load has done. */
+/** The result of a load, in requests. */
 typedef struct
 {
   guint started;
@@ -93,5 +95,5 @@
   guint retries;
 } HnLoad;
 
-/** Waits for the load's end. */
+/** Waits until the load ends and returns its result. */
 HnLoad hn_load_await (HnProcess *load);
--- a/tests/faults/harness.c
+++ b/tests/faults/harness.c
@@ -14,7 +14,7 @@
 
 #include "kernel/event_runtime.h"
 
-/** How often conditions are looked at. */
+/** Interval at which ended processes are reaped and awaited conditions evaluated. */
 #define TICK_MS ((KnlTime)5)
 
 #define DUMP_LINES 40
@@ -31,7 +31,7 @@
   struct bufferevent *log;
   GString *text;
   GPtrArray *lines; /* json_t */
-  GString *noise;   /* what was no log line */
+  GString *noise;   /* lines of standard error that aren't JSON log lines */
 };
 
 static void
@@ -82,9 +82,10 @@
 }
 
 /*
- * A port that is only looked up can be taken by another process, also as the
- * near end of a connection, before its server listens: a test would fail now
- * and then. A bound socket that never listens keeps it; SO_REUSEADDR lets the server in.
+ * A port that is only looked up may be taken by another process, also as the local
+ * end of a connection, before the server listens; tests would then fail sporadically.
+ * A bound socket that never listens reserves the port; SO_REUSEADDR lets the server
+ * bind it as well.
  */
 const char *
 hn_address_new (HnHarness *harness)
@@ -172,7 +173,7 @@
   return pipe;
 }
 
-/** A test that is itself killed must leave no process behind. */
+/** Ensures that no process survives a test program that is killed. */
 static void
 die_with_parent (gpointer data)
 {
@@ -242,7 +243,7 @@
 {
   if (!hn_await (process->harness, limit, has_ended, process))
     return -1;
-  /* What it wrote last may still be in the pipes. */
+  /* Its last output may still be in the pipes. */
   on_output (process->output, process);
   hn_pass (process->harness, 2 * TICK_MS * KNL_MSEC);
   return process->status;
@@ -329,7 +330,8 @@
   fputs (process->noise->str, stdout);
 }
 
-/** Whether the process behaved, as far as it shows in its end and in what it wrote. */
+/** Whether the process ended as expected and logged neither a sanitizer report nor a failed
+ * invariant. */
 static gboolean
 is_clean (HnProcess *process)
 {
--- a/tests/faults/harness.h
+++ b/tests/faults/harness.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /**
- * Real processes for the tests of failures: starts stand-ins and daemons on
- * loopback, reads their log lines, asks over HTTP, sends signals, and ends all
- * that it started. Waiting is for a condition; limits only stop a test that hangs.
+ * Real processes for the fault tests: starts stand-ins and daemons on loopback,
+ * reads their log lines, sends HTTP requests and signals, and ends all processes
+ * that it started. Tests wait for conditions; time limits only stop a test that hangs.
  */
 
 #include "kernel/kernel.h"
@@ -12,7 +12,9 @@
 #include <jansson.h>
 #include <signal.h>
 
-/** A limit for what should happen within a few seconds, on a busy machine too. */
+/** Time limit for conditions that are expected within a few seconds; long enough for a busy
+ * machine.
+ */
 #define HN_LIMIT (30 * KNL_SEC)
 
 typedef struct HnProcess HnProcess;
@@ -23,57 +25,61 @@
   struct event_base *base;
   KnlRuntime *runtime;
   KnlKernel *kernel;
-  GPtrArray *processes; /**< HnProcess, ended ones too */
+  GPtrArray *processes; /**< HnProcess, including those that have ended */
   GPtrArray *addresses;
-  GArray *sockets; /**< that keep the addresses */
+  GArray *sockets; /**< bound sockets that reserve the addresses */
   struct event *tick;
-  unsigned int failures; /**< of CUnit when the harness was made */
+  unsigned int failures; /**< CUnit's number of failures when the harness was created */
 } HnHarness;
 
 HnHarness *hn_harness_new (void);
 
 /**
- * Ends all processes; prints their last lines when a check failed. FALSE when
- * one that was asked to end did not with status 0, or logged a failed invariant
- * or a sanitizer's report.
+ * Ends all processes; prints their last log lines when a check failed. Returns
+ * FALSE when a process that the test didn't kill hasn't ended with status 0, or
+ * when any process logged a failed invariant or a sanitizer report.
  */
 gboolean hn_harness_free (HnHarness *harness);
 
 /**
- * A loopback address that no other test process running at the same time has. Free with g_free.
- * Gateways serve their metrics at one port of it: two runs of the tests at once would
- * share it otherwise, and a gateway of one of them would not start.
+ * A loopback IP address that no other test process uses at the same time; free with g_free().
+ * Gateways serve their metrics at a fixed port of their IP address: with a common one, a gateway of
+ * a second run of the tests at the same time would not start.
  */
 char *hn_own_ip (guint index);
 
-/** "127.0.0.1:PORT", free for the harness's life, restarts included; owned by the harness. */
+/** Returns "127.0.0.1:PORT", reserved while the harness exists, also across restarts of a process
+ * that listens there; owned by the harness. */
 const char *hn_address_new (HnHarness *harness);
 
-/** Runs events until `done` says so; its last verdict. */
+/** Runs the event loop until `done` returns TRUE or `limit` has passed; returns its last result. */
 gboolean
 hn_await (HnHarness *harness, KnlTime limit, gboolean (*done) (gpointer data), gpointer data);
 
-/** Runs events for `time`, where a test must let load go on. */
+/** Runs the event loop for `time`, for tests that need a load to continue. */
 void hn_pass (HnHarness *harness, KnlTime time);
 
 /* Processes */
 
-/** Starts `program` ("entry/alderturn-entry") with `arguments`, which ends with NULL. */
+/** Starts `program` (a path such as "entry/alderturn-entry" in the build folder) with the
+ * NULL-terminated `arguments`. `name` labels its output. */
 HnProcess *
 hn_start (HnHarness *harness, const char *name, const char *program, const char *const *arguments);
 
 void hn_signal (HnProcess *process, int number);
 
-/** Ends it without a word and waits for it; the handle stays for its log. */
+/** Kills the process with SIGKILL and waits for its end; its log can still be read. */
 void hn_kill (HnProcess *process);
 
-/** Waits for its end; the exit status, or -1 when it was killed or goes on. */
+/** Waits for the end of the process; returns the exit status, or -1 when it was ended by a signal
+ * or is still running. */
 int hn_await_exit (HnProcess *process, KnlTime limit);
 
-/** What it wrote to standard output so far. */
+/** The standard output of the process so far. */
 const char *hn_output (HnProcess *process);
 
-/** Log lines of that event so far; with `field`, those in which it has the text `value`. */
+/** Number of log lines of that event so far; with `field`, only those whose field is the string
+ * `value`. */
 guint hn_count (HnProcess *process, const char *event, const char *field, const char *value);
 
 /** Waits until hn_count() is at least `count`. */
@@ -83,12 +89,12 @@
                          const char *value,
                          guint count);
 
-/** The last log line of that event, or NULL. */
+/** The newest log line of that event, or NULL. */
 const json_t *hn_last (HnProcess *process, const char *event);
 
 /* HTTP */
 
-/** A request to an address. Fields that are NULL are left out. */
+/** An HTTP request. Members that are NULL are left out. */
 typedef struct
 {
   const char *address;
@@ -101,20 +107,21 @@
 } HnRequest;
 
 HnCall *hn_call_start (HnHarness *harness, const HnRequest *request);
-/** Drops the connection if it is not over. */
+/** Closes the connection if the call hasn't ended. */
 void hn_call_free (HnCall *call);
 
-/** Waits for the end of the answer; FALSE: not over. */
+/** Waits for the end of the answer; returns FALSE if it hasn't ended within `limit`. */
 gboolean hn_call_await (HnCall *call, KnlTime limit);
-/** Waits until the body so far has `text`. */
+/** Waits until the received part of the body contains `text`. */
 gboolean hn_call_await_text (HnCall *call, const char *text);
 
-/** Of an answer that is over; 0: it is not, or the connection broke. */
+/** The status of an answer that has ended; 0: it hasn't, or the connection failed. */
 int hn_call_status (const HnCall *call);
 const char *hn_call_body (const HnCall *call);
 
-/** One call to its end; the status, and the body as JSON (or NULL) in `*answer`, to be freed. */
+/** Makes a call and waits for its end; returns the status, or 0. Sets `*answer` to the body as
+ * JSON, to be released by json_decref(), or NULL; `answer` may be NULL. */
 int hn_ask (HnHarness *harness, const HnRequest *request, json_t **answer);
 
-/** Waits until a GET of `path` gives `status`. */
+/** Repeats a GET of `path` until its status is `status`. */
 gboolean hn_await_status (HnHarness *harness, const char *address, const char *path, int status);
--- a/tests/faults/harness_http.c
+++ b/tests/faults/harness_http.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Seconds without a byte after which a connection of a test is given up. */
+/** Seconds without data after which a connection is closed. */
 #define IDLE_SECONDS 120
 
 struct HnCall
@@ -170,7 +170,7 @@
   return status;
 }
 
-/** How long to wait before asking again for something that is not there yet. */
+/** Delay between two requests while an expected status is awaited. */
 #define ASK_PAUSE (20 * KNL_MSEC)
 
 gboolean
--- a/tests/faults/lagging_test.c
+++ b/tests/faults/lagging_test.c
@@ -1,11 +1,12 @@
-/** A revision that is not in force everywhere yet, with real processes. */
+/** Tests alderturnctl wait with an instance that lags behind, with real processes. */
 
 #include "../unit/suite.h"
 #include "cluster.h"
 
 #include <string.h>
 
-/* Runs one command with JSON output; the exit status, and the object in `*answer`, to be freed. */
+/* Runs one command with JSON output; returns the exit status and sets `*answer` to the object, to
+ * be released by json_decref(). */
 static int
 control (HnCluster *cluster, const char *command, json_t **answer)
 {
@@ -19,14 +20,15 @@
   HnProcess *process = hn_start (cluster->harness, "alderturnctl", "ctl/alderturnctl", arguments);
   int status = hn_await_exit (process, HN_LIMIT);
 
-  /* It has ended; its status is the test's matter, and not a fault that the harness should find. */
+  /* It has ended, and the test checks its status. Marked as killed, so that the harness doesn't
+   * treat a status other than 0 as a fault. */
   hn_kill (process);
   *answer = json_loads (hn_output (process), 0, NULL);
   CU_ASSERT_PTR_NOT_NULL (*answer);
   return status;
 }
 
-/* Waits for a revision; the exit status. */
+/* Runs "wait revision"; returns its exit status. */
 static int
 control_wait (HnCluster *cluster, json_int_t revision, guint seconds, json_t **answer)
 {
@@ -38,10 +40,9 @@
 }
 
 /*
- * Symptom: an automation believes that a change holds everywhere while an instance works
- * with an older revision.
- * Sequence: an entry's process stands still; a change is accepted.
- * Cause: acceptance, or the word of the controller beside the entry, is taken for being in force.
+ * Guards against a change being reported as in force everywhere while an instance still uses an
+ * older revision: an entry's process is stopped while a change is accepted, and the acceptance, or
+ * a report of the controller of the same instance, is mistaken for the entry's confirmation.
  */
 static void
 test_wait_names_the_instance_that_lags (void)
--- a/tests/faults/link_test.c
+++ b/tests/faults/link_test.c
@@ -1,4 +1,4 @@
-/** Links between an entry and a controller that fail, with real processes. */
+/** Tests failures of the link between an entry and a controller, with real processes. */
 
 #include "../unit/suite.h"
 #include "cluster.h"
@@ -8,7 +8,7 @@
 static const char completion[] =
     "{\"service\":\"letters\",\"prompt\":\"a question\",\"max_tokens\":4}";
 
-/** Asks one completion of an entry; its status. */
+/** Requests a completion from an entry; returns its status. */
 static int
 complete (HnCluster *cluster, const char *address)
 {
@@ -24,7 +24,8 @@
   return hn_ask (cluster->harness, &request, NULL);
 }
 
-/* The controller may notice the silence itself, or learn of it by the entry's new link. */
+/* The controller may detect the silence itself, or close the old link when the entry opens a new
+ * one. */
 static guint
 old_links_closed (HnProcess *controller)
 {
@@ -39,10 +40,9 @@
 }
 
 /*
- * Symptom: an entry gets neither configuration nor credits, and nobody notices.
- * Sequence: the link to its controller goes silent for good; new connections work.
- * Cause reproduced here: the proxy between them forgets the open connection and
- * keeps both of its ends open.
+ * Guards against an entry that receives neither configuration nor credits without detecting it: the
+ * link to its controller goes silent permanently while new connections work. Here a proxy between
+ * them stops forwarding and keeps both ends of the connection open.
  */
 static void
 test_a_silent_link_is_replaced (void)
@@ -67,9 +67,8 @@
 }
 
 /*
- * Symptom: a process of another deployment takes part in this one.
- * Sequence: an entry with another secret is started at this deployment's controller.
- * Cause reproduced here: it connects and can't prove that it knows the secret.
+ * Guards against a process of another deployment joining this one: an entry with a different secret
+ * connects to this deployment's controller and can't prove that it knows the secret.
  */
 static void
 test_a_wrong_secret_is_refused_and_disturbs_nobody (void)
--- a/tests/faults/promises_test.c
+++ b/tests/faults/promises_test.c
@@ -1,4 +1,4 @@
-/** Engines, entries and a plain service that fail while requests run, with real processes. */
+/** Tests failures of engines, entries and a plain service during requests, with real processes. */
 
 #include "../unit/suite.h"
 #include "cluster.h"
@@ -6,7 +6,7 @@
 
 #include <string.h>
 
-/* The limit that callers give, and what their answers may take beyond it. */
+/* The time limit that callers set, and the tolerance for answers beyond it. */
 #define LIMIT_TEXT "20000"
 #define LIMIT      (20 * KNL_SEC)
 #define MARGIN     (2 * KNL_SEC)
@@ -19,7 +19,7 @@
 #define FREEZE_NEW "{\"mode\":\"freeze\",\"new\":true}"
 #define HEAL       "{\"mode\":\"none\"}"
 
-/* Slow enough that a prompt's prefill and its answer take some time each. */
+/* Slow enough for faults to be injected during prefill and during decode. */
 static const char *const slow_engine[] = {
   "--clock-factor", "2", "--decode-rate", "100", "--hold-ms", "600000", NULL,
 };
@@ -28,22 +28,22 @@
 {
   FAULT_KILLED,
   FAULT_STOPPED,
-  FAULT_SILENT, /* connections, for good; new ones too at connect */
+  FAULT_SILENT, /* connections go silent permanently; in PHASE_CONNECT new ones too */
   FAULTS,
 } Fault;
 
 typedef enum
 {
-  PHASE_CONNECT, /* hits all engines before the request comes */
-  PHASE_PREFILL, /* hits the engine that runs it, before its first token */
-  PHASE_STREAM,  /* hits it after some tokens */
+  PHASE_CONNECT, /* affects all engines, before the request is sent */
+  PHASE_PREFILL, /* affects the engine that runs the request, before its first token */
+  PHASE_STREAM,  /* affects that engine after some tokens */
   PHASES,
 } Phase;
 
 static const char *const fault_names[] = { "killed", "stopped", "silent" };
 static const char *const phase_names[] = { "connect", "prefill", "stream" };
 
-/* A completion asked of the first entry, and its prompt. */
+/* A completion requested from the first entry, and its prompt. */
 typedef struct
 {
   HnCall *call;
@@ -83,7 +83,7 @@
   g_free (completion->prompt);
 }
 
-/* The text of all token events so far. */
+/* The concatenated text of all token events in `body`. */
 static GString *
 streamed_text (const char *body)
 {
@@ -107,11 +107,11 @@
 typedef enum
 {
   ANSWER_WHOLE,
-  ANSWER_ERROR, /* told as one; what came before it is the start of the answer */
-  ANSWER_WRONG, /* mixed, cut without a word, or not over at the limit */
+  ANSWER_ERROR, /* ended by an error event; the tokens before it are the start of the answer */
+  ANSWER_WRONG, /* has wrong tokens, is cut without an error, or hasn't ended at the limit */
 } Answer;
 
-/* Waits for its end, until the limit and the margin at the most. */
+/* Waits for the end of the answer, at most for the limit plus the margin. */
 static Answer
 completion_await (Completion *completion)
 {
@@ -137,7 +137,7 @@
   return answer;
 }
 
-/* The engine that runs the entry's one request; -1 when it was never given to one. */
+/* The index of the engine that runs the entry's only request; -1 when it was never sent to one. */
 static int
 await_engine (HnCluster *cluster, const Completion *completion)
 {
@@ -190,7 +190,7 @@
     hn_fault (cluster, node, HEAL);
 }
 
-/* Until requests are answered as before. */
+/* Repeats a request until it is answered completely, as before the fault. */
 static void
 await_healthy (HnCluster *cluster, const char *unique)
 {
@@ -244,11 +244,11 @@
 }
 
 /*
- * Symptom: a caller waits past its limit, or gets a mixed or silently cut answer.
- * Sequence: engines are killed, stopped, or their connections go silent for good: all of them
- * before the request comes, or the one that runs it before its first token or between two.
- * Cause: the end of a connection, which never comes, is waited for; an answer begun on one engine
- * goes on with another's without being compared.
+ * Guards against a caller that waits past its limit, or receives a mixed or silently cut answer.
+ * Engines are killed, stopped, or their connections go silent permanently: all engines before the
+ * request, or the one that runs it, before its first token or between two. It comes about when an
+ * instance waits for the end of a connection that is never closed, or continues an answer of one
+ * engine with that of another without comparing them.
  */
 static void
 test_an_answer_is_whole_or_an_error_within_its_limit (void)
@@ -265,10 +265,10 @@
 typedef struct
 {
   HnCluster *cluster;
-  gboolean taken; /* wanted */
+  gboolean taken; /* the awaited state */
 } Memory;
 
-/* Whether any engine's own report has memory taken. */
+/* Whether the engines report memory in use, or none, as awaited. */
 static gboolean
 memory_is (gpointer data)
 {
@@ -282,7 +282,7 @@
 
       hn_ask (cluster->harness,
               &(HnRequest){ .address = cluster->engines[i].address, .path = "/v1/load" }, &report);
-      /* The prefix cache keeps its part, and gives it up when a request needs it. */
+      /* Cached tokens don't count: the prefix cache frees them when a request needs the memory. */
       used += json_integer_value (json_object_get (report, "used_tokens"))
               - json_integer_value (json_object_get (report, "cached_tokens"));
       used += (json_int_t)json_array_size (json_object_get (report, "running"));
@@ -293,10 +293,9 @@
 }
 
 /*
- * Symptom: an engine's memory stays taken after an entry died.
- * Sequence: the entry is killed while it streams a long answer, and a new process takes its
- * place. The engine itself holds what nobody reads for ten minutes, and would go on with it.
- * Cause: nobody but the engine knows of the request any more.
+ * Guards against engine memory that stays in use after an entry died: the entry is killed while it
+ * streams a long answer, and a new process replaces it. The engine holds a request without a reader
+ * for ten minutes and would continue it, as no other process knows of the request any longer.
  */
 static void
 test_memory_of_a_killed_entry_comes_back (void)
@@ -348,8 +347,8 @@
   const char *name;
   const char *desk;     /* fault of the service, or NULL */
   const char *platform; /* fault of the platform, or NULL */
-  gboolean kills_entry; /* the first one, once the desk has the call */
-  int runs;             /* -1: at most one */
+  gboolean kills_entry; /* the first entry is killed once the service has run the call */
+  int runs;             /* expected number of executions; -1: at most one */
 } OnceRow;
 
 static const OnceRow once_rows[] = {
@@ -375,7 +374,7 @@
   return runs_of (ran->cluster, ran->key) > 0;
 }
 
-/* What a caller was told: '.' nothing, 'd' done, 'n' not run, 'u' anything else. */
+/* The outcome that a caller received: '.' none, 'd' done, 'n' not run, 'u' anything else. */
 static char
 confirm_await (HnCall *call)
 {
@@ -414,7 +413,7 @@
   if (row->kills_entry)
     CU_ASSERT_TRUE (
         hn_await_status (cluster->harness, cluster->instances[0].entry.address, "/readyz", 200));
-  /* Both callers send it again. */
+  /* Both callers repeat their request. */
   for (guint i = 2; i < G_N_ELEMENTS (calls); i++)
     calls[i] = confirm (cluster, i - 2, key);
   for (guint i = 2; i < G_N_ELEMENTS (calls); i++)
@@ -435,12 +434,11 @@
 }
 
 /*
- * Symptom: a police confirmation or a pressing order is carried out twice, or although its caller
- * was told that it was not run.
- * Sequence: one Idempotency-Key through two entries at once, and again through both; the desk or
- * the table fails in between, or the entry is killed after the desk has the call.
- * Cause: an attempt runs without a record that the other entry sees, or a lost one is taken for
- * one that did not run.
+ * Guards against a non-idempotent call that is executed twice, or although its caller received that
+ * it was not run. One Idempotency-Key is sent through two entries at the same time, and again
+ * through both; the service or the table fails in between, or the entry is killed after the service
+ * has the call. It comes about when an attempt runs without a record that the other entry sees, or
+ * when an attempt without an answer is taken for one that didn't run.
  */
 static void
 test_a_confirmation_runs_at_most_once (void)
--- a/tests/faults/replacement_test.c
+++ b/tests/faults/replacement_test.c
@@ -1,4 +1,4 @@
-/** Alderturn's processes killed, ended and replaced under load. */
+/** Tests that kill, shut down and replace daemons under load. */
 
 #include "../unit/suite.h"
 #include "cluster.h"
@@ -22,9 +22,9 @@
 }
 
 /*
- * Symptom: requests fail when a controller dies.
- * Sequence: killed under load; its entry goes to another one; a new process takes its place.
- * Cause reproduced here: SIGKILL, and a start at the same addresses some seconds later.
+ * Guards against requests that fail when a controller dies: it is killed with SIGKILL under load,
+ * its entry connects to another controller, and a new process starts at the same addresses some
+ * seconds later.
  */
 static void
 test_a_killed_controller_fails_no_request (void)
@@ -46,9 +46,9 @@
 }
 
 /*
- * Symptom: streams break off when an entry is shut down gracefully.
- * Sequence: SIGTERM under load; callers go on using it until their lists expire.
- * Cause reproduced here: as told, with a load that fetches the list of entries as callers do.
+ * Guards against streams that are cut when an entry is shut down gracefully: it receives SIGTERM
+ * under load, and callers continue to use it until their lists of entries expire. The load fetches
+ * the list as callers do.
  */
 static void
 test_an_entry_ended_gracefully_cuts_off_nothing (void)
@@ -66,10 +66,8 @@
 }
 
 /*
- * Symptom: a rolling replacement of all instances fails some requests.
- * Sequence: each instance's entry and controller end gracefully and start anew, one instance after
- * the other, under load.
- * Cause reproduced here: as told.
+ * Guards against requests that fail during a rolling replacement: under load, the entry and the
+ * controller of one instance after the other are shut down gracefully and started again.
  */
 static void
 test_rolling_replacement_of_all_instances_fails_no_request (void)
--- a/tests/soak/era_return.c
+++ b/tests/soak/era_return.c
@@ -1,9 +1,9 @@
 /**
- * How long real gateways take until they run one configuration, and until all of
- * them are listed again, after the store has come back from an older copy; and
- * what that costs the store. A measurement by hand, without a verdict.
+ * Measures how long real gateways take, after the store was restored from an older
+ * copy, until all run the same configuration and until all are listed again, and
+ * how many store calls that takes. Run by hand; checks nothing.
  *
- * era_return INSTANCES ZONES: one JSON line.
+ * usage: era_return INSTANCES ZONES; prints one JSON line.
  */
 
 #include <signal.h>
@@ -14,13 +14,13 @@
 #include "tests/fakes/row_store.h"
 #include "tests/faults/harness.h"
 
-/* A loopback network has room for so many. */
+/* Number of addresses that hn_own_ip() can give in one loopback network. */
 #define INSTANCES_MOST 250
 
-/* After a start of all, until nothing but feeds is left. */
+/* Time after the start of all instances until only feeds use the store. */
 #define SETTLES (5 * KNL_SEC)
 
-/* The operator writes what was lost again after this. */
+/* Delay after the restoration until the operator writes the lost configuration again. */
 #define WRITTEN_AFTER (300 * KNL_MSEC)
 
 #define SETTINGS_FORMAT                                                                            \
@@ -45,7 +45,7 @@
   guint n_zones;
   HnProcess *processes[INSTANCES_MOST];
   char *files[INSTANCES_MOST];
-  const char *version; /* that all are to run */
+  const char *version; /* of the configuration that all instances should run */
 } Fleet;
 
 static void
@@ -122,7 +122,8 @@
   return all_listed (data) && all_run (data);
 }
 
-/* Since `from`; calls a second are counted in the busiest of its tenths, times ten. */
+/* Measures from `from` on. The highest rate of calls a second is ten times the calls in the busiest
+ * 100 ms. */
 static void
 measure (Fleet *self, KnlTime from)
 {
@@ -175,7 +176,7 @@
     start_instance (&fleet, i);
   fleet.version = "1";
   if (!hn_await (fleet.harness, 4 * HN_LIMIT, all_run_and_listed, &fleet))
-    fprintf (stderr, "%u of %u are listed\n", n_listed (&fleet), fleet.n);
+    fprintf (stderr, "only %u of %u instances are listed\n", n_listed (&fleet), fleet.n);
   put_config (&fleet, 2);
   fleet.version = "2";
   hn_await (fleet.harness, HN_LIMIT, all_run, &fleet);
--- a/tests/soak/gateway_soak.c
+++ b/tests/soak/gateway_soak.c
@@ -1,11 +1,11 @@
 /**
- * Real gateways under faults from outside: signals that overlap, a store that
- * refuses, drops and says nothing, a proxy before an endpoint that delays,
- * resets and silences, settings read again, keys withdrawn. The promises are
- * checked by what callers and endpoints see.
+ * Runs real gateways under external faults: overlapping signals, a store that
+ * refuses calls, drops them or doesn't answer, a proxy in front of an endpoint that
+ * delays, resets and silences connections, reloaded settings, withdrawn keys. The
+ * guarantees are checked from the callers' and the endpoints' side.
  *
- * gateway_soak FIRST COUNT SECONDS: seeds FIRST to FIRST + COUNT - 1. A seed that
- * fails prints itself and what was broken.
+ * usage: gateway_soak FIRST COUNT SECONDS; runs the seeds FIRST to FIRST + COUNT - 1.
+ * A seed that fails is printed with the violations.
  */
 
 #include <stdlib.h>
@@ -15,10 +15,10 @@
 #include "gateway_soak_internal.h"
 #include "tests/unit/suite.h"
 
-/* Requests are sent so many at a time. */
+/* Requests sent in each step. */
 #define AT_ONCE 4
 
-/* The endpoint that says from half of the run on that it leaves. */
+/* Index of the endpoint that advertises from half of the run on that it is leaving. */
 #define LEAVER 1
 
 #define STEP         (20 * KNL_MSEC)
@@ -27,13 +27,13 @@
 #define REVOKE       (3 * KNL_SEC)
 #define ANSWER_SLACK (2 * KNL_SEC)
 
-/* One seed in so many leaves the gateways' processes and the store alone. */
+/* One seed in this many injects no faults into the gateways' processes and the store's service. */
 #define CALM_SEEDS 3
 
-/* All instances that reach the store run the newest configuration within this. */
+/* Time within which all instances that reach the store run the newest configuration. */
 #define SETTLED (4 * KNL_SEC)
 
-/* How long a caller's key may work after it was withdrawn, with the time that a request takes. */
+/* How long a caller's key may work after it was withdrawn, including the duration of a request. */
 #define KEY_LIMIT (REVOKE + LIMIT)
 
 #define SETTINGS_FORMAT                                                                            \
@@ -53,7 +53,7 @@
   "\"service\":\"s\"}],\"services\":[{\"name\":\"s\"}],"                                           \
   "\"tenants\":[{\"name\":\"w\",\"apiKeys\":[\"key\",\"key-%u\"]}]}"
 
-/* A version's key is taken away by the version after it. */
+/* The key of a version is withdrawn by the next version. */
 static KnlTime
 withdrawn_at (const Soak *self, const Request *request)
 {
@@ -75,7 +75,7 @@
            (request->ran_at - withdrawn_at (self, request)) / KNL_MSEC);
 }
 
-/* What gateways logged, but for single requests. */
+/* Prints the gateways' log lines, except those about single requests. */
 static void
 print_logs (const Soak *self)
 {
@@ -124,7 +124,7 @@
                                                 .done = on_done,
                                                 .failed = on_failed };
 
-/* `version`: whose key it has; 0: the one that stays. */
+/* `version`: the configuration whose key is used; 0: the permanent key. */
 static Request *
 send_to (Soak *self, Gateway *gateway, guint version)
 {
@@ -188,7 +188,7 @@
                                (const char *const[]){ "--boot", gateway->settings, NULL });
 }
 
-/* A new version, whose key takes the place of the last one's. */
+/* Writes a new version, whose key replaces that of the previous one. */
 void
 gs_put_config (Soak *self)
 {
@@ -203,7 +203,7 @@
   row_store_put_in (self->store, "op", "config", self->config);
 }
 
-/* Promises */
+/* Guarantees */
 
 static void
 check_request (Soak *self, const Request *request)
@@ -237,7 +237,7 @@
     gs_check_limit (self, &self->desks[i]);
 }
 
-/* With the store back, the newest configuration's key works everywhere. */
+/* Checks that the key of the newest configuration works everywhere once the store serves again. */
 static void
 check_settled (Soak *self)
 {
--- a/tests/soak/gateway_soak_endpoints.c
+++ b/tests/soak/gateway_soak_endpoints.c
@@ -1,29 +1,32 @@
-/** The endpoints of the gateway soak: they fail now and then and ask for rest, one says at last
- * that it leaves, and the last one names a limit. */
+/** The endpoints of the gateway soak: they fail at random and ask for backoff by Retry-After, one
+ * finally advertises that it is leaving, and the last one advertises a rate limit. */
 
 #include <CUnit/CUnit.h>
 #include <string.h>
 
 #include "gateway_soak_internal.h"
 
-/* What the last endpoint names from a third of the run on, and what it may get of that in a span:
- * half as much again and some, from gateways that were told and whose processes were left alone for
- * a while. */
+/* Range of the rate limit, in requests a second, that the last endpoint advertises from a third of
+ * the run on, and the span in which its arrivals are checked against it (see gs_check_limit()). A
+ * gateway's requests count LIMIT_KNOWN after it received the limit, and LIMIT_GRACE after the last
+ * signal to its process and after the limit was set. */
 #define RATE_LEAST  2
 #define RATE_MOST   7
 #define LIMIT_SPAN  (4 * KNL_SEC)
 #define LIMIT_KNOWN (500 * KNL_MSEC)
 #define LIMIT_GRACE (3 * KNL_SEC)
 
-/* Of the requests that are turned away, those with which an endpoint asks for rest, and what a
- * gateway whose process was left alone may send it from a while on. */
+/* Fraction of the refusals that carry Retry-After, its value, the time after which a gateway must
+ * honour it, and the number of requests that a gateway without a signal since may still send until
+ * it expires. */
 #define REST_PART    0.1
 #define REST_SECONDS 2
 #define REST         (REST_SECONDS * KNL_SEC)
 #define REST_KNOWN   (500 * KNL_MSEC)
 #define REST_MOST    2
 
-/* A request that a caller sends later than this after the word of leaving was passed on is late. */
+/* No request that a caller sends later than this after a gateway received the leaving signal may
+ * reach the endpoint through that gateway. */
 #define LEAVING_BOUND (2 * KNL_SEC)
 
 typedef struct
@@ -49,7 +52,8 @@
   return &self->heard[gateway - self->soak->gateways];
 }
 
-/* The fields of an answer to that gateway. */
+/* The header fields that advertise this endpoint's state to the gateway; records when they were
+ * first sent. */
 static char *
 say_words (Desk *self, Gateway *gateway)
 {
@@ -68,7 +72,8 @@
   return g_strdup_printf ("Server-Limit: %u\r\n", self->rate);
 }
 
-/* A rest that a gateway heard of before the last signal to it is not held against it. */
+/* Checks that a gateway honours the leaving signal and Retry-After. Those that it received before
+ * the last signal to its process don't count, as it may have lost them. */
 static void
 check_words (Desk *self, const Request *request)
 {
@@ -80,7 +85,7 @@
       && request->sent_at > heard->leaving_at + LEAVING_BOUND)
     {
       self->soak->broken++;
-      fprintf (stderr, "broken: request %s reached an endpoint that had said that it leaves\n",
+      fprintf (stderr, "broken: request %s reached an endpoint that had advertised leaving\n",
                request->id);
     }
   if (heard->rest_at <= gateway->faulted_at || now < heard->rest_at + REST_KNOWN
@@ -89,11 +94,12 @@
   if (++heard->n_in_rest <= REST_MOST)
     return;
   self->soak->broken++;
-  fprintf (stderr, "broken: request %s is number %u to an endpoint that had asked for rest\n",
+  fprintf (stderr, "broken: request %s is number %u to an endpoint during its Retry-After\n",
            request->id, heard->n_in_rest);
 }
 
-/* The proxy before the first endpoint may hold requests back that were sent before its word. */
+/* Not the first endpoint: the proxy in front of it may delay requests that were sent before its
+ * Retry-After. */
 static gboolean
 asks_for_rest (const Desk *self)
 {
@@ -236,7 +242,8 @@
   self->entries[i] = g_steal_pointer (&entry);
 }
 
-/* The span that begins with each arrival. */
+/* Checks the span that begins with each arrival: it may contain one and a half times the advertised
+ * rate, and five requests more. */
 void
 gs_check_limit (Soak *self, const Desk *desk)
 {
@@ -253,7 +260,8 @@
       if (end - i <= most)
         continue;
       self->broken++;
-      fprintf (stderr, "broken: an endpoint that takes %u a second got %u requests, allowed %u\n",
+      fprintf (stderr,
+               "broken: an endpoint with a limit of %u a second received %u requests, allowed %u\n",
                desk->rate, end - i, most);
       return;
     }
--- a/tests/soak/gateway_soak_faults.c
+++ b/tests/soak/gateway_soak_faults.c
@@ -1,11 +1,11 @@
-/** What happens to gateways, store and endpoints in the gateway soak. */
+/** The faults that the gateway soak injects into gateways, the store and endpoints. */
 
 #include <signal.h>
 
 #include "gateway_soak_internal.h"
 
-/* A copy of the store is of this many steps before at most, and what is lost is written again
- * within this. */
+/* Greatest age, in steps of the run, of the copy from which the store is restored, and the longest
+ * delay until the lost rows are written again. */
 #define COPY_STEPS        150
 #define WRITTEN_WITHIN_MS 1000
 
@@ -51,7 +51,7 @@
   row_store_forget_history (self->store);
 }
 
-/* It comes back from a copy of up to three seconds before. */
+/* Restores the store from a copy that is up to three seconds old. */
 static void
 fault_copy (Soak *self, Gateway *gateway)
 {
@@ -106,7 +106,8 @@
   hn_ask (self->harness, &request, NULL);
 }
 
-/* The first of the faults leave processes and the store alone, the next one processes. */
+/* In the list of faults, the first CALM_FAULTS affect neither the processes nor the store's
+ * service; the next STORE_FAULTS affect the store, and the others the processes. */
 #define CALM_FAULTS  5
 #define STORE_FAULTS 1
 
@@ -121,7 +122,7 @@
   guint chosen = (guint)g_rand_int_range (self->rand, 0, (gint32)n);
   Gateway *gateway = &self->gateways[g_rand_int_range (self->rand, 0, GATEWAYS)];
 
-  /* What was stopped goes on first, so that at most one stands still. */
+  /* Resumes all processes first, so that at most one is stopped. */
   for (guint i = 0; i < GATEWAYS; i++)
     hn_signal (self->gateways[i].process, SIGCONT);
   if (chosen >= CALM_FAULTS + STORE_FAULTS)
--- a/tests/soak/gateway_soak_internal.h
+++ b/tests/soak/gateway_soak_internal.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** What the parts of the gateway soak share. */
+/** Declarations shared by the sources of the gateway soak. */
 
 #include "http/client.h"
 #include "http/server.h"
@@ -20,16 +20,16 @@
   const char *link;
   char *settings;
   HnProcess *process;
-  KnlTime faulted_at; /* last signal to it */
-  KnlTime told_at;    /* when this process was first told of the endpoint's limit; 0: not yet */
+  KnlTime faulted_at; /* last signal to the process */
+  KnlTime told_at;    /* when an answer first advertised the limit to this process; 0: not yet */
 } Gateway;
 
-/** What an endpoint has told a gateway. */
+/** The signals that an endpoint has sent to a gateway. */
 typedef struct
 {
-  KnlTime leaving_at;
-  KnlTime rest_at; /* last time */
-  guint n_in_rest; /* requests in that rest */
+  KnlTime leaving_at; /* when it advertised that it is leaving; 0: not yet */
+  KnlTime rest_at;    /* when it last sent Retry-After; 0: not yet */
+  guint n_in_rest;    /* requests that arrived before that Retry-After expired */
 } Heard;
 
 /** An endpoint. */
@@ -37,25 +37,25 @@
 {
   Soak *soak;
   HtServer *server;
-  guint rate;         /* requests a second that it names; 0: none */
-  KnlTime limited_at; /* since when */
-  GArray *arrivals;   /* KnlTime, of requests that count against it */
+  guint rate;         /* advertised limit in requests a second; 0: none */
+  KnlTime limited_at; /* when the limit was set */
+  GArray *arrivals;   /* KnlTime, of requests that count against the limit */
   gboolean is_leaving;
   Heard heard[GATEWAYS];
 } Desk;
 
-/** What became of one request, as its caller and the endpoints saw it. */
+/** The outcome of one request, as its caller and the endpoints saw it. */
 typedef struct
 {
   Soak *soak;
   Gateway *gateway;
   char *id;
-  gboolean once;
-  guint key; /* version whose key it has; 0: the one that stays */
+  gboolean once; /* not idempotent */
+  guint key;     /* version whose key it carries; 0: the permanent key */
   KnlTime sent_at;
   KnlTime ended_at; /* 0: not yet */
   guint status;     /* 0: no answer */
-  gboolean is_own;  /* the answer's body names it */
+  gboolean is_own;  /* the answer's body is this request's id */
   guint runs;
   KnlTime ran_at;
 } Request;
@@ -67,20 +67,20 @@
   HtClient *client;
   RowStore *store;
   Desk desks[DESKS];
-  const char *proxy; /* its control; before desk 0 */
+  const char *proxy; /* control address of the proxy in front of endpoint 0 */
   Gateway gateways[GATEWAYS];
   GHashTable *requests; /* id -> Request */
-  GArray *withdrawn_at; /* KnlTime, by version: when its key was taken away */
-  char *config;         /* the newest, as the operator has it */
-  char *entries[DESKS]; /* of endpoints */
-  GArray *versions;     /* guint64, of the store, one a step */
-  KnlTime written_at;   /* when operator and endpoints write again what was lost; 0: nothing was */
-  gboolean is_calm;     /* no signals */
+  GArray *withdrawn_at; /* KnlTime, by version: when its key was withdrawn */
+  char *config;         /* the newest configuration that the operator wrote */
+  char *entries[DESKS]; /* rows of the endpoints in the store */
+  GArray *versions;     /* guint64, version of the store at each step */
+  KnlTime written_at;   /* when lost rows are to be written again; 0: none are lost */
+  gboolean is_calm;     /* no faults of processes or of the store's service */
   guint version;
   guint next;
   guint answered;
-  guint rests; /* that endpoints asked for */
-  guint broken;
+  guint rests;  /* answers with Retry-After */
+  guint broken; /* violations of the guarantees */
 };
 
 static inline KnlTime
@@ -94,23 +94,24 @@
 void gs_write_settings (Soak *self, guint gateway);
 void gs_start_gateway (Soak *self, guint gateway);
 
-/** A new version, whose key takes the place of the last one's. */
+/** Writes a new version, whose key replaces that of the previous one. */
 void gs_put_config (Soak *self);
 
 /* gateway_soak_endpoints.c */
 
 void gs_start_desk (Soak *self, guint desk);
 
-/** The last endpoint names a limit from now on. */
+/** Makes the last endpoint advertise a rate limit from now on. */
 void gs_name_limit (Soak *self);
 
-/** What an endpoint that names a limit got. */
+/** Checks the arrivals at an endpoint against the rate limit that it advertises. */
 void gs_check_limit (Soak *self, const Desk *desk);
 
 /* gateway_soak_faults.c */
 
-/** One of the faults, at one of the gateways. */
+/** Injects a random fault at a random gateway. */
 void gs_inject (Soak *self);
 
-/** Operator and endpoints write again what the store has lost, when it is time. */
+/** Writes the rows of the operator and the endpoints again that a restoration of the store lost, if
+ * it is time. */
 void gs_write_again (Soak *self);
--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -1,4 +1,4 @@
-/** The long run: soak SEED COUNT MINUTES [verbose]; prints a line for each seed. */
+/** Long run of the soak. usage: soak SEED COUNT MINUTES [verbose]; prints a line for each seed. */
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -40,7 +40,7 @@
     return;
   if (g_rand_int_range (soak->rand, 0, 3) == 0)
     {
-      /* Some keys are used again, at any entry, by callers that ask again. */
+      /* Some keys are reused at any entry, as by callers that repeat a request. */
       guint64 key = g_rand_boolean (soak->rand) && soak->next > 4
                         ? soak->next - (guint64)g_rand_int_range (soak->rand, 0, 4)
                         : ++soak->next;
@@ -77,7 +77,7 @@
   caller->entry_incarnation = G_MAXUINT64;
 }
 
-/* The promises. */
+/* Guarantees. */
 
 static char *
 describe (const FkCaller *caller)
@@ -203,7 +203,7 @@
 {
 }
 
-/* Operators change a weight now and then, through any controller. */
+/* Sometimes changes a weight through a random controller, as an operator would. */
 static void
 operate (Soak *soak)
 {
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /**
- * Long randomised runs of a whole deployment in memory. Requests and faults
- * come at random from a printed seed; afterwards everything is healed, and what
- * the users were promised is compared with what the endpoints really ran.
+ * Long randomised runs of a complete deployment in memory. Requests and faults are
+ * drawn from a printed seed. At the end all faults are removed, and the guarantees
+ * given to callers are compared with the requests that the endpoints ran.
  */
 
 #include "kernel/kernel.h"
@@ -15,13 +15,13 @@
   gboolean verbose; /**< prints each fault */
 } SoakOptions;
 
-/** What one run came to. A run is good when `violations` is 0. */
+/** The result of one run, in requests. A run has passed when `violations` is 0. */
 typedef struct
 {
   guint requests;
   guint done;
   guint refused; /**< not run */
-  guint failed;  /**< ran and failed, or unknown */
+  guint failed;  /**< failed after they ran, or with unknown outcome */
   guint lost;    /**< their entry was killed */
   guint faults;
   guint violations;
--- a/tests/soak/soak_faults.c
+++ b/tests/soak/soak_faults.c
@@ -4,14 +4,14 @@
 
 #define FAULT_TIME (15 * KNL_SEC)
 
-/** Begins the fault of a target or ends it; the end heals just what the fault broke. */
+/** Begins a fault at a target, or ends it; the end undoes only this fault. */
 typedef void (*FaultFunc) (Soak *soak, guint target, gboolean begins);
 
 typedef struct
 {
   const char *name;
   FaultFunc func;
-  gboolean once; /* it has no end: what it breaks heals by itself */
+  gboolean once; /* it needs no end, as its effect passes by itself */
 } Fault;
 
 typedef struct
@@ -209,7 +209,8 @@
     {
       const ActiveFault *other = &g_array_index (active, ActiveFault, i);
 
-      /* One fault a target and kind: ends then heal what they began. */
+      /* At most one fault of each kind and at each target, so that ending one doesn't undo
+       * another. */
       if (other->fault == fault || (other->target == target && !other->fault->once))
         return TRUE;
     }
--- a/tests/soak/soak_internal.h
+++ b/tests/soak/soak_internal.h
@@ -24,11 +24,11 @@
   KnlTime frozen_until[INSTANCES];
 } Soak;
 
-/** A list of the faults that are active. */
+/** Creates the list of active faults. */
 GArray *soak_faults_new (void);
 
-/** Begins a random fault of a random target, unless that target has one already. */
+/** Begins a random fault at a random target, unless that fault or that target is already active. */
 void soak_faults_begin (Soak *soak, GArray *active);
 
-/** Ends the faults whose time is over, or all; each heals just what it broke. */
+/** Ends the faults whose time has passed, or all; ending one undoes only its own effect. */
 void soak_faults_end (Soak *soak, GArray *active, gboolean all);
--- a/tests/soak/soak_test.c
+++ b/tests/soak/soak_test.c
@@ -1,7 +1,7 @@
 /**
- * Randomised runs in CI: seeds FIRST to FIRST + COUNT - 1 from the command line,
- * 30 minutes of the paused clock each. A seed that fails prints itself; build/tests/soak/soak
- * SEED 1 30 verbose shows what happened.
+ * Randomised runs for CI: the seeds FIRST to FIRST + COUNT - 1 from the command line,
+ * each for 30 minutes of the paused clock. Violations are printed with their seed;
+ * build/tests/soak/soak SEED 1 30 verbose repeats the run and prints its faults.
  */
 
 #include <stdlib.h>
