--- a/tests/fakes/memory_call.h
+++ b/tests/fakes/memory_call.h
@@ -82,5 +82,5 @@
 /** Frees the call unless one of the ends still uses it. */
 void fk_call_release (FkCall *call);
 
-/** Removes all calls of a far end that goes away; with `told`, lost() is called for each. */
+/** Drops all calls at a far end that ends; with `told`, lost() is called for each. */
 void fk_calls_lose (GHashTable *under_way, gboolean told);
--- a/tests/faults/cluster.c
+++ b/tests/faults/cluster.c
@@ -159,7 +159,7 @@
 }
 
 /** Registers a process in the platform's list of instances. A real platform knows its instances;
- * the stand-in has to be told. */
+ * the stand-in needs them registered. */
 static void
 list_process (HnCluster *cluster, const HnInstance *instance, const char *kind, const char *address)
 {
--- a/tests/soak/soak_internal.h
+++ b/tests/soak/soak_internal.h
@@ -18,7 +18,7 @@
   FkDeployment *deployment;
   KnlPausedClock *clock;
   GPtrArray *callers; /* FkCaller, all of the run */
-  guint64 next;       /* makes prompts and keys unique */
+  guint64 next;       /* counter that makes prompts and keys unique */
   guint64 incarnations[INSTANCES];
   gboolean entry_frozen[INSTANCES];
   KnlTime frozen_until[INSTANCES];
