--- a/tests/fakes/pass_engine.c
+++ b/tests/fakes/pass_engine.c
@@ -34,12 +34,12 @@
   GPtrArray *read;    /* Part, whose prefill ended in the current pass */
   GPtrArray *writers; /* FkPassRequest, decoding in the current pass */
   guint steps;        /* left of the current pass, including the current steps */
-  guint plain;        /* current steps, if they only decode; 0: the current step also prefills */
+  guint plain;        /* current steps if they only decode; 0: the current step prefills */
   KnlTime began_at;   /* when the current steps began */
   double used_tokens;
   double read_ms;
   KnlTimerId timer;   /* end of the current steps; 0: idle */
-  gboolean is_ending; /* admitting requests or emitting events; begin_pass() must not be nested */
+  gboolean is_ending; /* admits requests or emits events; begin_pass() returns at once */
 };
 
 static void begin_pass (FkPassEngine *self);
