--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -11,14 +11,14 @@
 #define MAX_TOKENS      60
 
 /* Request deadlines: callers of long prompts wait longer than those of short ones. */
-#define SHORT_LIMIT (20 * KNL_SEC)
-#define LONG_LIMIT  (180 * KNL_SEC)
-#define LONG_TOKENS 100000
+#define SHORT_TIMEOUT (20 * KNL_SEC)
+#define LONG_TIMEOUT  (180 * KNL_SEC)
+#define LONG_TOKENS   100000
 
 /* Fraction of all requests in each range of prompt tokens: one in fifty exceeds 100,000. */
 static const struct
 {
-  double part;
+  double fraction;
   double from;
   double to;
 } lengths[] = {
@@ -29,8 +29,8 @@
 };
 
 /* Three large workspaces and seven small ones. */
-static const double workspace_parts[BENCH_WORKSPACES] = { 0.25, 0.25, 0.22, 0.04, 0.04,
-                                                          0.04, 0.04, 0.04, 0.04, 0.04 };
+static const double workspace_fractions[BENCH_WORKSPACES] = { 0.25, 0.25, 0.22, 0.04, 0.04,
+                                                              0.04, 0.04, 0.04, 0.04, 0.04 };
 
 static const BenchProfile profiles[] = {
   { "lantern", 20, 1200 * KNL_USEC },
@@ -55,8 +55,8 @@
   double mean = 0;
 
   for (guint i = 0; i < G_N_ELEMENTS (lengths); i++)
-    mean +=
-        lengths[i].part * (lengths[i].to - lengths[i].from) / log (lengths[i].to / lengths[i].from);
+    mean += lengths[i].fraction * (lengths[i].to - lengths[i].from)
+            / log (lengths[i].to / lengths[i].from);
   return mean;
 }
 
@@ -66,8 +66,8 @@
   double at = g_rand_double (rand);
   guint range = 0;
 
-  while (range + 1 < G_N_ELEMENTS (lengths) && at >= lengths[range].part)
-    at -= lengths[range++].part;
+  while (range + 1 < G_N_ELEMENTS (lengths) && at >= lengths[range].fraction)
+    at -= lengths[range++].fraction;
   return (guint64)(lengths[range].from
                    * pow (lengths[range].to / lengths[range].from, g_rand_double (rand)));
 }
@@ -78,8 +78,8 @@
   double at = g_rand_double (rand);
   guint workspace = 0;
 
-  while (workspace + 1 < BENCH_WORKSPACES && at >= workspace_parts[workspace])
-    at -= workspace_parts[workspace++];
+  while (workspace + 1 < BENCH_WORKSPACES && at >= workspace_fractions[workspace])
+    at -= workspace_fractions[workspace++];
   return workspace;
 }
 
@@ -106,7 +106,7 @@
               ++bench->next);
   caller = fk_caller_complete (bench->clock, fk_deployment_core (bench->deployment, entry),
                                workspace, text, tokens, MAX_TOKENS,
-                               tokens >= LONG_TOKENS ? LONG_LIMIT : SHORT_LIMIT);
+                               tokens >= LONG_TOKENS ? LONG_TIMEOUT : SHORT_TIMEOUT);
   g_ptr_array_add (bench->callers, caller);
   g_array_append_val (bench->tokens, tokens);
 }
@@ -145,7 +145,7 @@
       waiting = waiting || sd_engine_report (engine)->waiting > 0;
     }
   bench->result->samples++;
-  bench->result->overrun += idle && waiting;
+  bench->result->idle_while_waiting += idle && waiting;
 }
 
 static void
@@ -180,7 +180,7 @@
       arrive (bench);
     }
   bench->result->span = options->duration;
-  advance (bench, LONG_LIMIT);
+  advance (bench, LONG_TIMEOUT);
 }
 
 static void
@@ -193,11 +193,11 @@
   result->requests[length]++;
   if (caller->first_at > 0)
     {
-      guint64 first = (guint64)(caller->first_at - caller->submitted_at);
+      guint64 time_to_first = (guint64)(caller->first_at - caller->submitted_at);
 
-      cm_histogram_record (&result->first[length], first);
+      cm_histogram_record (&result->time_to_first[length], time_to_first);
       if (length <= EN_LENGTH_16K)
-        cm_histogram_record (&result->workspace_first[caller->workspace], first);
+        cm_histogram_record (&result->workspace_time_to_first[caller->workspace], time_to_first);
     }
   if (caller->ends == 1 && !caller->failed && !caller->wrong)
     {
@@ -272,9 +272,9 @@
 bench_result_clear (BenchResult *result)
 {
   for (guint i = 0; i < BENCH_CLASSES; i++)
-    cm_histogram_clear (&result->first[i]);
+    cm_histogram_clear (&result->time_to_first[i]);
   for (guint i = 0; i < BENCH_WORKSPACES; i++)
-    cm_histogram_clear (&result->workspace_first[i]);
+    cm_histogram_clear (&result->workspace_time_to_first[i]);
 }
 
 void
@@ -282,17 +282,17 @@
 {
   for (guint i = 0; i < BENCH_CLASSES; i++)
     {
-      cm_histogram_merge (&into->first[i], &from->first[i]);
+      cm_histogram_merge (&into->time_to_first[i], &from->time_to_first[i]);
       into->requests[i] += from->requests[i];
       into->done[i] += from->done[i];
       into->refused[i] += from->refused[i];
       into->failed[i] += from->failed[i];
     }
   for (guint i = 0; i < BENCH_WORKSPACES; i++)
-    cm_histogram_merge (&into->workspace_first[i], &from->workspace_first[i]);
+    cm_histogram_merge (&into->workspace_time_to_first[i], &from->workspace_time_to_first[i]);
   into->done_tokens += from->done_tokens;
   into->memory_waits += from->memory_waits;
-  into->overrun += from->overrun;
+  into->idle_while_waiting += from->idle_while_waiting;
   into->samples += from->samples;
   into->platform_writes += from->platform_writes;
   into->platform_reads += from->platform_reads;
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -40,15 +40,16 @@
 
 typedef struct
 {
-  CmHistogram first[BENCH_CLASSES];              /**< time to first token, microseconds */
-  CmHistogram workspace_first[BENCH_WORKSPACES]; /**< of requests up to 16,000 tokens */
+  CmHistogram time_to_first[BENCH_CLASSES];              /**< time to first token, microseconds */
+  CmHistogram workspace_time_to_first[BENCH_WORKSPACES]; /**< of requests up to 16,000 tokens */
   guint64 requests[BENCH_CLASSES];
   guint64 done[BENCH_CLASSES];
   guint64 refused[BENCH_CLASSES]; /**< refused before they ran */
   guint64 failed[BENCH_CLASSES];
   guint64 done_tokens;  /**< prompt tokens of answers that were complete and in time */
   guint64 memory_waits; /**< how often the next request of an engine's queue waited for memory */
-  guint64 overrun; /**< samples in which one engine had waiting requests while another was idle */
+  guint64 idle_while_waiting; /**< samples in which one engine had waiting requests while another
+                                 was idle */
   guint64 samples;
   guint64 platform_writes;
   guint64 platform_reads;
--- a/bench/gateway_cost.c
+++ b/bench/gateway_cost.c
@@ -43,7 +43,7 @@
 
 /* Decodes like a feed: parses the answer in one slice, then decodes the value piece by piece. */
 static void
-take_in (PlConfigDecoder *decoder, const char *text, gsize length, Cost *cost)
+decode_answer (PlConfigDecoder *decoder, const char *text, gsize length, Cost *cost)
 {
   double begun = cpu_us ();
   PlAnswer *answer = pl_answer_parse (text, length);
@@ -87,20 +87,20 @@
   g_autofree char *changed = fk_config_answer (n_routes, 8);
   gsize length = strlen (answer);
   PlConfigDecoder *decoder = pl_config_decoder_new ();
-  Cost first = { 0 };
-  Cost again = { 0 };
+  Cost fresh_cost = { 0 };
+  Cost reused_cost = { 0 };
 
   for (guint i = 0; i < ROUNDS; i++)
     {
       PlConfigDecoder *fresh = pl_config_decoder_new ();
 
-      take_in (fresh, answer, length, &first);
+      decode_answer (fresh, answer, length, &fresh_cost);
       pl_config_decoder_free (fresh);
-      take_in (decoder, i % 2 == 0 ? answer : changed, length, &again);
+      decode_answer (decoder, i % 2 == 0 ? answer : changed, length, &reused_cost);
     }
   pl_config_decoder_free (decoder);
-  print_cost ("configuration", n_routes, length, &first, ROUNDS);
-  print_cost ("configuration, one route changed", n_routes, length, &again, ROUNDS);
+  print_cost ("configuration", n_routes, length, &fresh_cost, ROUNDS);
+  print_cost ("configuration, one route changed", n_routes, length, &reused_cost, ROUNDS);
 }
 
 static void
--- a/bench/main.c
+++ b/bench/main.c
@@ -53,27 +53,27 @@
 static void
 print_result (const char *title, const BenchResult *result)
 {
-  CmHistogram quiet = { 0 };
+  CmHistogram other_workspaces = { 0 };
 
   for (guint i = 0; i < BENCH_CLASSES; i++)
     {
       printf ("%-42s %-5s", title, class_names[i]);
-      print_quantiles (&result->first[i]);
+      print_quantiles (&result->time_to_first[i]);
       printf ("  %6" G_GUINT64_FORMAT " %6" G_GUINT64_FORMAT " %6" G_GUINT64_FORMAT
               " %6" G_GUINT64_FORMAT "\n",
               result->requests[i], result->done[i], result->refused[i], result->failed[i]);
     }
   for (guint i = 0; i < BENCH_WORKSPACES - 1; i++)
-    cm_histogram_merge (&quiet, &result->workspace_first[i]);
+    cm_histogram_merge (&other_workspaces, &result->workspace_time_to_first[i]);
   printf ("%-42s small", title);
-  print_quantiles (&quiet);
+  print_quantiles (&other_workspaces);
   printf ("  goodput %.0f tokens/s, memory waits %" G_GUINT64_FORMAT
           ", idle beside waiting %.2f%%, table writes %.1f/s reads %.1f/s\n",
           (double)result->done_tokens / ((double)result->span / KNL_SEC), result->memory_waits,
-          100.0 * (double)result->overrun / (double)MAX (result->samples, 1),
+          100.0 * (double)result->idle_while_waiting / (double)MAX (result->samples, 1),
           (double)result->platform_writes / ((double)result->span / KNL_SEC),
           (double)result->platform_reads / ((double)result->span / KNL_SEC));
-  cm_histogram_clear (&quiet);
+  cm_histogram_clear (&other_workspaces);
 }
 
 static void
@@ -81,7 +81,7 @@
 {
   BenchResult sum = { 0 };
   GArray *goodput = g_array_new (FALSE, FALSE, sizeof (double));
-  GArray *first = g_array_new (FALSE, FALSE, sizeof (double));
+  GArray *time_to_first = g_array_new (FALSE, FALSE, sizeof (double));
   char title[64];
 
   g_snprintf (title, sizeof title, "%s %s e%d load %.2f ls %.1f%s%s", flags->profile, flags->router,
@@ -105,17 +105,17 @@
 
       bench_run (&options, &result);
       tokens = (double)result.done_tokens / ((double)result.span / KNL_SEC);
-      p99 = (double)cm_histogram_quantile (&result.first[EN_LENGTH_4K], 0.99) / 1000;
+      p99 = (double)cm_histogram_quantile (&result.time_to_first[EN_LENGTH_4K], 0.99) / 1000;
       g_array_append_val (goodput, tokens);
-      g_array_append_val (first, p99);
+      g_array_append_val (time_to_first, p99);
       bench_result_merge (&sum, &result);
       bench_result_clear (&result);
     }
   print_result (title, &sum);
   print_range (title, "goodput tokens/s", goodput);
-  print_range (title, "p99 ms of 4k", first);
+  print_range (title, "p99 ms of 4k", time_to_first);
   g_array_free (goodput, TRUE);
-  g_array_free (first, TRUE);
+  g_array_free (time_to_first, TRUE);
   bench_result_clear (&sum);
 }
 
--- a/bench/policies.c
+++ b/bench/policies.c
@@ -10,13 +10,13 @@
 #include "tests/fakes/pass_engine.h"
 
 /* Time after the last arrival, for the answers to end. */
-#define RUN_OUT (30 * KNL_SEC)
+#define DRAIN_TIME (30 * KNL_SEC)
 
 /* The load alternates between many short and many long prompts in phases of this length. */
-#define PHASE (10 * KNL_SEC)
+#define PHASE_DURATION (10 * KNL_SEC)
 
 /* Worth of a late answer as a fraction of that of an answer in time. */
-#define LATE_WORTH 0.25
+#define LATE_WORTH_FRACTION 0.25
 
 typedef struct Sim Sim;
 
@@ -72,11 +72,11 @@
   guint64 number;
   guint64 prompt_tokens;
   guint events;
-  KnlTime asked_at;
+  KnlTime submitted_at;
   KnlTime first_at;
   KnlTime last_at;
-  KnlTime longest;
-  gboolean reading;
+  KnlTime longest_gap;
+  gboolean in_prefill;
   SvPlacement placement;
 } Request;
 
@@ -102,7 +102,7 @@
   Instance *instances;
   GPtrArray *engines; /* FkPassEngine, indexed by the number that is its endpoint's id */
   guint64 next;
-  double owed;
+  double offered_worth;
   double earned;
 };
 
@@ -122,50 +122,50 @@
   SvPrefill prefill;
   guint n;
   guint64 keys[SV_MAX_HELPERS + 1];
-} Word;
+} LoadUpdate;
 
 static void
 on_word (gpointer data)
 {
-  Word *word = data;
-  SvEndpoint *endpoint = sv_fleet_by_key (word->to->fleet, word->endpoint);
+  LoadUpdate *update = data;
+  SvEndpoint *endpoint = sv_fleet_by_key (update->to->fleet, update->endpoint);
 
   if (endpoint != NULL)
-    sv_endpoint_set_peer (endpoint, word->from, &word->load);
-  if (word->prefill.prompt != 0 && word->n > 0)
-    sv_fleet_add_prefill (word->to->fleet, &word->prefill, word->keys, word->n);
-  else if (word->prefill.prompt != 0)
-    sv_fleet_end_prefill (word->to->fleet, word->prefill.prompt);
-  g_free (word);
+    sv_endpoint_set_peer (endpoint, update->from, &update->load);
+  if (update->prefill.prompt != 0 && update->n > 0)
+    sv_fleet_add_prefill (update->to->fleet, &update->prefill, update->keys, update->n);
+  else if (update->prefill.prompt != 0)
+    sv_fleet_end_prefill (update->to->fleet, update->prefill.prompt);
+  g_free (update);
 }
 
 static void
-tell (Request *request, const SvPrefill *prefill, const guint64 *keys, guint n)
+announce_load (Request *request, const SvPrefill *prefill, const guint64 *keys, guint n)
 {
   Sim *sim = request->sim;
 
   for (guint i = 0; i < sim->options->instances; i++)
     {
-      Word *word;
+      LoadUpdate *update;
 
       if (&sim->instances[i] == request->instance)
         continue;
-      word = g_new0 (Word, 1);
-      word->to = &sim->instances[i];
-      word->from = request->instance->id;
-      word->endpoint = request->placement.first->key;
-      word->load = request->placement.first->own;
+      update = g_new0 (LoadUpdate, 1);
+      update->to = &sim->instances[i];
+      update->from = request->instance->id;
+      update->endpoint = request->placement.first->key;
+      update->load = request->placement.first->own;
       if (prefill != NULL)
-        word->prefill = *prefill;
-      word->n = n;
+        update->prefill = *prefill;
+      update->n = n;
       if (n > 0)
-        memcpy (word->keys, keys, n * sizeof *keys);
-      knl_timer_start (sim->kernel, sim->options->delay, on_word, word);
+        memcpy (update->keys, keys, n * sizeof *keys);
+      knl_timer_start (sim->kernel, sim->options->delay, on_word, update);
     }
 }
 
 static SvPrefill
-read_of (const Request *request)
+prefill_of (const Request *request)
 {
   return (SvPrefill){ .prompt = request->number,
                       .length = request->placement.prefill,
@@ -173,16 +173,16 @@
 }
 
 static void
-end_reading (Request *request)
+end_prefill (Request *request)
 {
-  SvPrefill prefill = read_of (request);
+  SvPrefill prefill = prefill_of (request);
 
-  if (!request->reading)
+  if (!request->in_prefill)
     return;
-  request->reading = FALSE;
+  request->in_prefill = FALSE;
   sv_fleet_end_prefill (request->instance->fleet, request->number);
   if (prefill.until_ended)
-    tell (request, &prefill, NULL, 0);
+    announce_load (request, &prefill, NULL, 0);
 }
 
 static void
@@ -191,11 +191,11 @@
   Request *request = data;
   KnlTime now = now_of (request->sim);
 
-  end_reading (request);
+  end_prefill (request);
   if (index == 0)
     request->first_at = now;
   else
-    request->longest = MAX (request->longest, now - request->last_at);
+    request->longest_gap = MAX (request->longest_gap, now - request->last_at);
   request->last_at = now;
 }
 
@@ -205,17 +205,18 @@
   Request *request = data;
   Sim *sim = request->sim;
   BenchKindResult *kind = &sim->result->kinds[request->kind - kinds];
-  KnlTime first = request->first_at - request->asked_at;
-  gboolean in_time = first <= request->kind->objective && request->longest <= request->kind->gap;
+  KnlTime first = request->first_at - request->submitted_at;
+  gboolean in_time =
+      first <= request->kind->objective && request->longest_gap <= request->kind->gap;
   double size = (double)request->prompt_tokens / request->kind->prompt;
   double worth = request->kind->worth * (0.3 + 0.7 * size);
 
   sv_endpoint_charge (request->placement.first, &request->placement.load, -1);
-  tell (request, NULL, NULL, 0);
+  announce_load (request, NULL, NULL, 0);
   cm_histogram_record (&kind->first, (guint64)first);
-  cm_histogram_record (&kind->pause, (guint64)request->longest);
+  cm_histogram_record (&kind->max_gap, (guint64)request->longest_gap);
   kind->in_time += in_time;
-  sim->earned += in_time ? worth : LATE_WORTH * worth;
+  sim->earned += in_time ? worth : LATE_WORTH_FRACTION * worth;
   sv_placement_clear (&request->placement);
   g_free (request);
 }
@@ -235,7 +236,7 @@
 {
   Sim *sim = request->sim;
   SvPlacement *placement = &request->placement;
-  SvPrefill prefill = read_of (request);
+  SvPrefill prefill = prefill_of (request);
   guint64 keys[SV_MAX_HELPERS + 1];
   guint n = sv_placement_prefill_keys (placement, keys);
   FkPassDemand demand = {
@@ -249,8 +250,8 @@
   sv_placement_ref (placement);
   sv_endpoint_charge (placement->first, &placement->load, 1);
   sv_fleet_add_prefill (request->instance->fleet, &prefill, keys, n);
-  request->reading = TRUE;
-  tell (request, &prefill, keys, n);
+  request->in_prefill = TRUE;
+  announce_load (request, &prefill, keys, n);
   fk_pass_engine_submit (engine_of (sim, placement->first), &demand, &request_events, request);
 }
 
@@ -265,7 +266,7 @@
     .zone = "a",
     .prompt_tokens = request->prompt_tokens,
     .answer_tokens = (guint64)request->events * spec.stride,
-    .objective_left = MAX (request->asked_at + request->kind->objective - now_of (sim), 0),
+    .objective_left = MAX (request->submitted_at + request->kind->objective - now_of (sim), 0),
     .gap_objective = request->kind->gap,
   };
   KnlTime wait = sim->policy->place (request, &demand);
@@ -278,13 +279,13 @@
 
 /* Fills in the placement and its load for a policy that doesn't use the router. */
 static void
-fill (Request *request, const SvDemand *demand, SvEndpoint *first, guint parts)
+fill_placement (Request *request, const SvDemand *demand, SvEndpoint *first, guint parts)
 {
   SvPlacement *placement = &request->placement;
   const GPtrArray *all = sv_fleet_all (request->instance->fleet);
   GRand *rand = request->sim->rand;
   guint at = (guint)g_rand_int_range (rand, 0, (gint32)all->len);
-  double read_ms = sv_model_prefill_ms (&spec, (double)demand->prompt_tokens);
+  double prefill_ms = sv_model_prefill_ms (&spec, (double)demand->prompt_tokens);
 
   *placement = (SvPlacement){ .first = first, .load = { .calls = 1 } };
   placement->load.decoding_streams[sv_gap_class_of (demand->gap_objective)] = 1;
@@ -296,7 +297,7 @@
       if (endpoint != first)
         placement->helpers[placement->n_helpers++] = endpoint;
     }
-  placement->part = (KnlTime)(read_ms / (placement->n_helpers + 1) * KNL_MSEC);
+  placement->part = (KnlTime)(prefill_ms / (placement->n_helpers + 1) * KNL_MSEC);
   placement->prefill = placement->part;
 }
 
@@ -306,7 +307,7 @@
   const GPtrArray *all = sv_fleet_all (request->instance->fleet);
   guint at = (guint)g_rand_int_range (request->sim->rand, 0, (gint32)all->len);
 
-  fill (request, demand, g_ptr_array_index (all, at), 1);
+  fill_placement (request, demand, g_ptr_array_index (all, at), 1);
   return 0;
 }
 
@@ -334,7 +335,7 @@
 static KnlTime
 place_fewest (Request *request, const SvDemand *demand)
 {
-  fill (request, demand, fewest_calls (request), 1);
+  fill_placement (request, demand, fewest_calls (request), 1);
   return 0;
 }
 
@@ -344,7 +345,7 @@
 {
   guint parts = 1 + MIN ((guint)(demand->prompt_tokens / 10000), SV_MAX_HELPERS);
 
-  fill (request, demand, fewest_calls (request), parts);
+  fill_placement (request, demand, fewest_calls (request), parts);
   return 0;
 }
 
@@ -355,7 +356,7 @@
   SvDeferCase due = {
     .placement = &request->placement,
     .objective = request->kind->objective,
-    .waited = now - request->asked_at,
+    .waited = now - request->submitted_at,
     .left = KNL_NEVER,
   };
   KnlTime wait;
@@ -401,7 +402,7 @@
 
 /* Draws from a log-normal distribution with this mean, `spread` being standard deviation / mean. */
 static double
-draw (GRand *rand, double mean, double spread)
+draw_log_normal (GRand *rand, double mean, double spread)
 {
   double sigma = sqrt (log (1 + spread * spread));
   double u = MAX (g_rand_double (rand), 1e-12);
@@ -422,20 +423,21 @@
   request->instance =
       &self->instances[g_rand_int_range (self->rand, 0, (gint32)self->options->instances)];
   request->prompt_tokens =
-      (guint64)CLAMP (draw (self->rand, kind->prompt, kind->spread), 400, 300000);
-  request->events = (guint)CLAMP (draw (self->rand, kind->events, 0.6), 2, 2.5 * kind->events);
-  request->asked_at = now_of (self);
+      (guint64)CLAMP (draw_log_normal (self->rand, kind->prompt, kind->spread), 400, 300000);
+  request->events =
+      (guint)CLAMP (draw_log_normal (self->rand, kind->events, 0.6), 2, 2.5 * kind->events);
+  request->submitted_at = now_of (self);
   worth = kind->worth * (0.3 + 0.7 * (double)request->prompt_tokens / kind->prompt);
-  self->result->kinds[kind - kinds].asked++;
-  self->owed += worth;
+  self->result->kinds[kind - kinds].submitted++;
+  self->offered_worth += worth;
   place (request);
 }
 
 /* Draws the arrivals of one millisecond. */
 static void
-offer (Sim *self)
+offer_load (Sim *self)
 {
-  guint phase = (guint)(now_of (self) / PHASE) % 2;
+  guint phase = (guint)(now_of (self) / PHASE_DURATION) % 2;
 
   for (guint i = 0; i < BENCH_KINDS; i++)
     {
@@ -529,14 +531,14 @@
   sim_open (&sim);
   for (guint i = 0; i < options->seconds * 1000; i++)
     {
-      offer (&sim);
+      offer_load (&sim);
       knl_paused_clock_advance (sim.clock, KNL_MSEC);
     }
   for (guint i = 0; i < sim.engines->len; i++)
-    prefill += fk_pass_engine_read_ms (g_ptr_array_index (sim.engines, i));
+    prefill += fk_pass_engine_prefill_ms (g_ptr_array_index (sim.engines, i));
   result->busy = prefill / 1000 / options->seconds / options->engines;
-  knl_paused_clock_advance (sim.clock, RUN_OUT);
-  result->earned = sim.owed > 0 ? sim.earned / sim.owed : 0;
+  knl_paused_clock_advance (sim.clock, DRAIN_TIME);
+  result->earned = sim.offered_worth > 0 ? sim.earned / sim.offered_worth : 0;
   sim_close (&sim);
   return TRUE;
 }
@@ -547,6 +549,6 @@
   for (guint i = 0; i < BENCH_KINDS; i++)
     {
       cm_histogram_clear (&self->kinds[i].first);
-      cm_histogram_clear (&self->kinds[i].pause);
+      cm_histogram_clear (&self->kinds[i].max_gap);
     }
 }
--- a/bench/policies.h
+++ b/bench/policies.h
@@ -23,10 +23,10 @@
 
 typedef struct
 {
-  guint asked;
-  guint in_time;     /**< first event and all gaps within their objectives */
-  CmHistogram first; /**< time to the first event */
-  CmHistogram pause; /**< longest gap between two events of each request */
+  guint submitted;
+  guint in_time;       /**< first event and all gaps within their objectives */
+  CmHistogram first;   /**< time to the first event */
+  CmHistogram max_gap; /**< longest gap between two events of each request */
 } BenchKindResult;
 
 typedef struct
--- a/bench/policies_main.c
+++ b/bench/policies_main.c
@@ -5,7 +5,7 @@
 
 #include "policies.h"
 
-#define SEEDS_MOST 50
+#define MAX_SEEDS 50
 
 typedef struct
 {
@@ -37,11 +37,11 @@
 static void
 run_seeds (const Flags *flags, const char *policy)
 {
-  double earned[SEEDS_MOST];
-  double in_time[BENCH_KINDS][SEEDS_MOST];
+  double earned[MAX_SEEDS];
+  double in_time[BENCH_KINDS][MAX_SEEDS];
   double first = 0;
   double busy = 0;
-  guint n = (guint)CLAMP (flags->seeds, 1, SEEDS_MOST);
+  guint n = (guint)CLAMP (flags->seeds, 1, MAX_SEEDS);
 
   for (guint i = 0; i < n; i++)
     {
@@ -59,7 +59,7 @@
       bench_policy_run (&options, &result);
       earned[i] = result.earned;
       for (guint k = 0; k < BENCH_KINDS; k++)
-        in_time[k][i] = (double)result.kinds[k].in_time / MAX (result.kinds[k].asked, 1);
+        in_time[k][i] = (double)result.kinds[k].in_time / MAX (result.kinds[k].submitted, 1);
       first += (double)cm_histogram_quantile (&result.kinds[0].first, 0.95) / 1000 / n;
       busy += result.busy / n;
       bench_policy_result_clear (&result);
--- a/tests/fakes/memory_call.c
+++ b/tests/fakes/memory_call.c
@@ -54,7 +54,7 @@
 void
 fk_call_release (FkCall *call)
 {
-  if (call->calls == NULL && call->travel == 0 && !call->attached && call->pins == 0)
+  if (call->calls == NULL && call->arrival_timer == 0 && !call->attached && call->pins == 0)
     call->klass->destroy (call);
 }
 
@@ -74,18 +74,18 @@
   knl_timer_stop (calls->kernel, &call->limit);
   g_hash_table_remove (calls->open, &call->id);
   call->calls = NULL;
-  if (call->klass->left != NULL)
-    call->klass->left (call);
+  if (call->klass->closed != NULL)
+    call->klass->closed (call);
   fk_call_release (call);
 }
 
 /* Pins the call during the callback, in which the client may end it: the call must not be freed
  * before the callback returns. */
 static void
-take (FkCall *call, gpointer content)
+receive (FkCall *call, gpointer content)
 {
   call->pins++;
-  call->klass->take (call, content);
+  call->klass->receive (call, content);
   call->pins--;
 }
 
@@ -95,7 +95,7 @@
   FkCall *call = data;
 
   call->limit = 0;
-  take (call, NULL);
+  receive (call, NULL);
   fk_call_release (call);
 }
 
@@ -106,7 +106,7 @@
   FkCall *call = piece->call;
 
   g_queue_remove (&call->pieces, piece);
-  take (call, piece->content);
+  receive (call, piece->content);
   piece_free (piece);
   fk_call_release (call);
 }
@@ -130,10 +130,10 @@
 }
 
 static void
-leave_far_end (FkCall *call)
+remove_if_done (FkCall *call)
 {
-  if (call->travel == 0 && !call->attached)
-    g_hash_table_remove (call->under_way, call);
+  if (call->arrival_timer == 0 && !call->attached)
+    g_hash_table_remove (call->in_flight, call);
 }
 
 static void
@@ -141,26 +141,26 @@
 {
   FkCall *call = data;
 
-  call->travel = 0;
+  call->arrival_timer = 0;
   call->pins++;
   call->klass->arrive (call);
   call->pins--;
-  leave_far_end (call);
+  remove_if_done (call);
   fk_call_release (call);
 }
 
 void
 fk_call_arrive_later (FkCall *call, KnlTime delay)
 {
-  call->travel = knl_timer_start (call->far, delay, on_arrival, call);
+  call->arrival_timer = knl_timer_start (call->far_kernel, delay, on_arrival, call);
 }
 
 void
-fk_call_send (FkCall *call, KnlKernel *far, GHashTable *under_way)
+fk_call_send (FkCall *call, KnlKernel *far_kernel, GHashTable *in_flight)
 {
-  call->far = far;
-  call->under_way = under_way;
-  g_hash_table_add (under_way, call);
+  call->far_kernel = far_kernel;
+  call->in_flight = in_flight;
+  g_hash_table_add (in_flight, call);
   fk_call_arrive_later (call, call->calls->latency);
 }
 
@@ -168,7 +168,7 @@
 fk_call_set_attached (FkCall *call, gboolean attached)
 {
   call->attached = attached;
-  leave_far_end (call);
+  remove_if_done (call);
   fk_call_release (call);
 }
 
@@ -191,18 +191,18 @@
 }
 
 void
-fk_calls_lose (GHashTable *under_way, gboolean told)
+fk_calls_abort (GHashTable *in_flight, gboolean notify)
 {
-  GList *calls = g_hash_table_get_keys (under_way);
+  GList *calls = g_hash_table_get_keys (in_flight);
 
   for (GList *l = calls; l != NULL; l = l->next)
     {
       FkCall *call = l->data;
 
-      knl_timer_stop (call->far, &call->travel);
+      knl_timer_stop (call->far_kernel, &call->arrival_timer);
       call->attached = FALSE;
-      leave_far_end (call);
-      if (told)
+      remove_if_done (call);
+      if (notify)
         call->klass->lost (call);
       fk_call_release (call);
     }
--- a/tests/fakes/memory_call.h
+++ b/tests/fakes/memory_call.h
@@ -25,9 +25,9 @@
   void (*arrive) (FkCall *call);
   /** The client receives a piece of the answer; NULL: the time limit has passed. Both leave it to
    * the callee to end the call with fk_call_end(). */
-  void (*take) (FkCall *call, gpointer piece);
+  void (*receive) (FkCall *call, gpointer piece);
   /** The client has closed its end; may be NULL. */
-  void (*left) (FkCall *call);
+  void (*closed) (FkCall *call);
   /** The far end's process has ended. */
   void (*lost) (FkCall *call);
   void (*destroy) (FkCall *call);
@@ -39,12 +39,12 @@
 {
   const FkCallClass *klass;
   guint64 id;
-  FkCalls *calls;        /* NULL once it has ended for the client */
-  KnlKernel *far;        /* kernel of the far end */
-  GHashTable *under_way; /* set of the far end's calls in flight; contains this one */
-  KnlTimerId travel;     /* arrival at the far end */
-  gboolean attached;     /* the far end still works on it after arrive() */
-  guint pins;            /* callbacks on the stack that use it; it isn't freed meanwhile */
+  FkCalls *calls;           /* NULL once it has ended for the client */
+  KnlKernel *far_kernel;    /* kernel of the far end */
+  GHashTable *in_flight;    /* set of the far end's calls in flight; contains this one */
+  KnlTimerId arrival_timer; /* arrival at the far end */
+  gboolean attached;        /* the far end still works on it after arrive() */
+  guint pins;               /* callbacks on the stack that use it; it isn't freed meanwhile */
   KnlTimerId limit;
   GQueue pieces; /* Piece, in transit to the client */
 };
@@ -63,8 +63,9 @@
 /** Sets the time limit for the next piece, counted from now. */
 void fk_call_set_limit (FkCall *call, KnlTime limit);
 
-/** Sends the call to `far`; `under_way` contains it until the far end has finished with it. */
-void fk_call_send (FkCall *call, KnlKernel *far, GHashTable *under_way);
+/** Sends the call to `far_kernel`; `in_flight` contains it until the far end has finished with it.
+ */
+void fk_call_send (FkCall *call, KnlKernel *far_kernel, GHashTable *in_flight);
 
 /** Called within arrive(): arrive() is called again after `delay`. */
 void fk_call_arrive_later (FkCall *call, KnlTime delay);
@@ -82,5 +83,5 @@
 /** Frees the call unless one of the ends still uses it. */
 void fk_call_release (FkCall *call);
 
-/** Drops all calls at a far end that ends; with `told`, lost() is called for each. */
-void fk_calls_lose (GHashTable *under_way, gboolean told);
+/** Drops all calls at a far end that ends; with `notify`, lost() is called for each. */
+void fk_calls_abort (GHashTable *in_flight, gboolean notify);
--- a/tests/fakes/memory_engine.c
+++ b/tests/fakes/memory_engine.c
@@ -106,7 +106,7 @@
 }
 
 static void
-call_take (FkCall *base, gpointer piece)
+call_receive (FkCall *base, gpointer piece)
 {
   Call *call = (Call *)base;
   gboolean sent = call->fault != FK_CONNECTION_NO_CONNECT;
@@ -139,7 +139,7 @@
 }
 
 static void
-ask_service (Call *call, SdService *service)
+run_service (Call *call, SdService *service)
 {
   KnlTime delay = g_str_has_prefix (call->service_path, "/confirm") ? CONFIRM_DELAY : 0;
 
@@ -164,7 +164,7 @@
   int status;
 
   if (call->path == NULL && endpoint->service != NULL)
-    ask_service (call, endpoint->service);
+    run_service (call, endpoint->service);
   else if (call->path != NULL && endpoint->engine != NULL)
     {
       status = sd_engine_call (endpoint->engine, call->path, call->body, &json);
@@ -177,7 +177,7 @@
 
 static const FkCallClass call_class = {
   .arrive = call_arrive,
-  .take = call_take,
+  .receive = call_receive,
   .lost = call_lost,
   .destroy = call_destroy,
   .free_piece = answer_free,
@@ -197,7 +197,7 @@
   if (call->fault == FK_CONNECTION_REFUSED)
     answer (call, 0, NULL, EP_NOT_SENT, 0);
   else if (call->fault != FK_CONNECTION_NO_CONNECT && call->fault != FK_CONNECTION_NO_REQUEST)
-    fk_call_send (&call->base, call->endpoint->kernel, call->endpoint->under_way);
+    fk_call_send (&call->base, call->endpoint->kernel, call->endpoint->in_flight);
   return call->base.id;
 }
 
--- a/tests/fakes/memory_engine_internal.h
+++ b/tests/fakes/memory_engine_internal.h
@@ -16,7 +16,7 @@
   SdEngine *engine;   /* NULL: down, or a plain service */
   SdService *service; /* NULL: an engine */
   gboolean down;
-  GHashTable *under_way; /* set of FkCall, in flight */
+  GHashTable *in_flight; /* set of FkCall, in flight */
   GPtrArray *ran;        /* GArray of SdRan, one for each incarnation of the engine */
   KnlTimerId crash;
   KnlTimerId weights; /* end of the load of model weights */
--- a/tests/fakes/memory_fleet.c
+++ b/tests/fakes/memory_fleet.c
@@ -16,8 +16,8 @@
 static void
 endpoint_free (Endpoint *endpoint)
 {
-  fk_calls_lose (endpoint->under_way, FALSE);
-  g_hash_table_unref (endpoint->under_way);
+  fk_calls_abort (endpoint->in_flight, FALSE);
+  g_hash_table_unref (endpoint->in_flight);
   sd_engine_free (endpoint->engine);
   g_ptr_array_unref (endpoint->ran);
   if (endpoint->service != NULL)
@@ -50,7 +50,7 @@
 
   endpoint->fleet = fleet;
   endpoint->address = g_strdup (address);
-  endpoint->under_way = g_hash_table_new (g_direct_hash, g_direct_equal);
+  endpoint->in_flight = g_hash_table_new (g_direct_hash, g_direct_equal);
   endpoint->ran = g_ptr_array_new_with_free_func ((GDestroyNotify)g_array_unref);
   endpoint->runtime = knl_paused_clock_runtime (fleet->clock);
   endpoint->kernel = knl_kernel_new (endpoint->runtime, g_str_hash (address));
@@ -167,7 +167,7 @@
   knl_timer_stop (endpoint->kernel, &endpoint->crash);
   knl_timer_stop (endpoint->kernel, &endpoint->weights);
   g_clear_pointer (&endpoint->engine, sd_engine_free);
-  fk_calls_lose (endpoint->under_way, TRUE);
+  fk_calls_abort (endpoint->in_flight, TRUE);
 }
 
 void
--- a/tests/fakes/memory_platform.c
+++ b/tests/fakes/memory_platform.c
@@ -13,7 +13,7 @@
   KnlKernel *kernel;
   SdTable *table;
   SdInstanceList *instances;
-  GHashTable *under_way; /* set of FkCall */
+  GHashTable *in_flight; /* set of FkCall */
 };
 
 typedef struct
@@ -37,7 +37,7 @@
   CallKind kind;
   FkStore *store;
   FkPlatformFault fault;
-  gboolean waited; /* the delay of a slow table has passed */
+  gboolean delayed; /* the delay of a slow table has passed */
   json_t *transaction;
   char *key;
   char *after;
@@ -115,7 +115,7 @@
 
 /* The answer is converted to text and parsed again, as by the client over HTTP. */
 static void
-call_take (FkCall *base, gpointer answered)
+call_receive (FkCall *base, gpointer answered)
 {
   Call *call = (Call *)base;
 
@@ -129,7 +129,7 @@
 }
 
 static void
-carry_out (Call *call)
+execute_call (Call *call)
 {
   if (call->kind == CALL_TRANSACT)
     call->status = sd_table_transact (call->store->table, call->transaction, &call->answer);
@@ -140,7 +140,7 @@
                                              : sd_instance_list_visible (call->store->instances);
       call->status = call->answer != NULL ? TB_OK : TB_UNAVAILABLE;
     }
-  if (call->fault != FK_PLATFORM_DEAF)
+  if (call->fault != FK_PLATFORM_LOSES_ANSWERS)
     fk_call_answer (&call->base, 0, call);
 }
 
@@ -150,18 +150,18 @@
   Call *call = (Call *)base;
   KnlTime delay = sd_table_delay (call->store->table);
 
-  if (call->kind == CALL_INSTANCES || call->waited || delay == 0)
-    carry_out (call);
+  if (call->kind == CALL_INSTANCES || call->delayed || delay == 0)
+    execute_call (call);
   else if (delay != KNL_NEVER)
     {
-      call->waited = TRUE;
+      call->delayed = TRUE;
       fk_call_arrive_later (base, delay);
     }
 }
 
 static const FkCallClass call_class = {
   .arrive = call_arrive,
-  .take = call_take,
+  .receive = call_receive,
   .destroy = call_destroy,
 };
 
@@ -181,7 +181,7 @@
       fk_call_answer (&call->base, 0, call);
     }
   else if (call->fault != FK_PLATFORM_SILENT)
-    fk_call_send (&call->base, call->store->kernel, call->store->under_way);
+    fk_call_send (&call->base, call->store->kernel, call->store->in_flight);
   return call->base.id;
 }
 
@@ -275,7 +275,7 @@
   store->kernel = kernel;
   store->table = sd_table_new (kernel, 0, 0);
   store->instances = sd_instance_list_new (kernel, instances_lag);
-  store->under_way = g_hash_table_new (g_direct_hash, g_direct_equal);
+  store->in_flight = g_hash_table_new (g_direct_hash, g_direct_equal);
   return store;
 }
 
@@ -284,8 +284,8 @@
 {
   if (store == NULL)
     return;
-  fk_calls_lose (store->under_way, FALSE);
-  g_hash_table_unref (store->under_way);
+  fk_calls_abort (store->in_flight, FALSE);
+  g_hash_table_unref (store->in_flight);
   sd_instance_list_free (store->instances);
   sd_table_free (store->table);
   g_free (store);
--- a/tests/fakes/memory_platform.h
+++ b/tests/fakes/memory_platform.h
@@ -20,8 +20,9 @@
   FK_PLATFORM_NORMAL,
   FK_PLATFORM_UNREACHABLE, /**< calls fail with TB_UNAVAILABLE after the latency, without effect */
   FK_PLATFORM_SILENT,      /**< calls are lost in transit and end at their time limit */
-  FK_PLATFORM_DEAF, /**< calls take effect, but the answers are lost; they end at their time limit
-                     */
+  FK_PLATFORM_LOSES_ANSWERS, /**< calls take effect, but the answers are lost; they end at their
+                              * time limit
+                              */
 } FkPlatformFault;
 
 /** A store without rate limits on `kernel`, which no daemon should share. */
--- a/tests/fakes/memory_stream.c
+++ b/tests/fakes/memory_stream.c
@@ -21,7 +21,7 @@
   json_t *imports;
   FkConnectionFault fault;
   guint frames_left;
-  gboolean mute;     /* no further lines are sent to the client */
+  gboolean muted;    /* no further lines are sent to the client */
   KnlTimerId detach; /* on the endpoint's kernel, while attached */
   KnlTime latency;
   guint64 next_offset;
@@ -76,7 +76,7 @@
 }
 
 static void
-stream_left (FkCall *call)
+stream_closed (FkCall *call)
 {
   EpStream *stream = (EpStream *)call;
 
@@ -94,7 +94,7 @@
 }
 
 static void
-take_end (EpStream *stream, const SdFrame *frame)
+receive_end (EpStream *stream, const SdFrame *frame)
 {
   if (!stream->generate.hold && frame->count != stream->next_offset)
     {
@@ -107,14 +107,14 @@
 
 /* Makes the same checks as the client over HTTP, so that both fail alike. */
 static void
-take_frame (EpStream *stream, const SdFrame *frame)
+receive_frame (EpStream *stream, const SdFrame *frame)
 {
   if (strcmp (frame->request, stream->generate.request) != 0)
     fail (stream, EP_MALFORMED, FALSE, "frame of another request");
   else if (frame->type == SD_FRAME_ERROR)
     fail (stream, EP_FAILED, FALSE, frame->text);
   else if (frame->type == SD_FRAME_END)
-    take_end (stream, frame);
+    receive_end (stream, frame);
   else if (frame->type == SD_FRAME_ACCEPTED)
     stream->events->on_accepted (stream, stream->data);
   else if (frame->type == SD_FRAME_TOKENS && frame->offset != stream->next_offset)
@@ -128,7 +128,7 @@
 }
 
 static void
-stream_take (FkCall *call, gpointer piece)
+stream_receive (FkCall *call, gpointer piece)
 {
   EpStream *stream = (EpStream *)call;
   const Line *line = piece;
@@ -143,7 +143,7 @@
   if (line->failed)
     fail (stream, line->failure, line->leaving, line->frame.text);
   else
-    take_frame (stream, &line->frame);
+    receive_frame (stream, &line->frame);
 }
 
 static void
@@ -153,11 +153,11 @@
 
   *line = (Line){ .failed = TRUE, .failure = kind, .leaving = leaving };
   line->frame.text = g_strdup (detail);
-  if (!stream->mute)
+  if (!stream->muted)
     fk_call_answer (&stream->base, 0, line);
   else
     line_free (line);
-  stream->mute = TRUE;
+  stream->muted = TRUE;
 }
 
 /* FALSE: the fault drops this line and all later ones. */
@@ -182,7 +182,7 @@
   Line *line;
 
   stream->base.attached = TRUE;
-  if (!stream->mute && stream->base.calls != NULL && passes_fault (stream, last))
+  if (!stream->muted && stream->base.calls != NULL && passes_fault (stream, last))
     {
       line = g_new0 (Line, 1);
       line->frame = *frame;
@@ -196,7 +196,7 @@
       detach_later (stream, 0);
     }
   else
-    stream->mute = TRUE;
+    stream->muted = TRUE;
   if (last)
     set_attached (stream, FALSE);
 }
@@ -256,8 +256,8 @@
 
 static const FkCallClass stream_class = {
   .arrive = stream_arrive,
-  .take = stream_take,
-  .left = stream_left,
+  .receive = stream_receive,
+  .closed = stream_closed,
   .lost = stream_lost,
   .destroy = stream_destroy,
   .free_piece = line_free,
@@ -274,7 +274,7 @@
   if (stream->fault == FK_CONNECTION_REFUSED)
     send_failure (stream, EP_NOT_SENT, FALSE, "connection refused");
   else if (connects && stream->fault != FK_CONNECTION_NO_REQUEST)
-    fk_call_send (&stream->base, stream->endpoint->kernel, stream->endpoint->under_way);
+    fk_call_send (&stream->base, stream->endpoint->kernel, stream->endpoint->in_flight);
 }
 
 EpStream *
--- a/tests/fakes/pass_engine.c
+++ b/tests/fakes/pass_engine.c
@@ -20,8 +20,8 @@
   const FkPassEvents *events;
   gpointer data;
   Part parts[FK_PASS_HELPERS + 1];
-  guint unread; /* parts whose prefill hasn't ended */
-  guint made;   /* events so far */
+  guint parts_left;  /* parts whose prefill hasn't ended */
+  guint events_made; /* events so far */
 };
 
 struct FkPassEngine
@@ -30,16 +30,16 @@
   const SvEngineSpec *spec;
   GQueue waiting; /* FkPassRequest */
   GPtrArray *running;
-  GQueue parts;       /* Part, in the order of their prefill */
-  GPtrArray *read;    /* Part, whose prefill ended in the current pass */
-  GPtrArray *writers; /* FkPassRequest, decoding in the current pass */
-  guint steps;        /* left of the current pass, including the current steps */
-  guint plain;        /* current steps if they only decode; 0: the current step prefills */
-  KnlTime began_at;   /* when the current steps began */
+  GQueue parts;         /* Part, in the order of their prefill */
+  GPtrArray *prefilled; /* Part, whose prefill ended in the current pass */
+  GPtrArray *decoding;  /* FkPassRequest, decoding in the current pass */
+  guint steps;          /* left of the current pass, including the current steps */
+  guint decode_steps;   /* current steps if they only decode; 0: the current step prefills */
+  KnlTime began_at;     /* when the current steps began */
   double used_tokens;
-  double read_ms;
-  KnlTimerId timer;   /* end of the current steps; 0: idle */
-  gboolean is_ending; /* admits requests or emits events; begin_pass() returns at once */
+  double prefill_ms;
+  KnlTimerId timer;           /* end of the current steps; 0: idle */
+  gboolean is_between_passes; /* admits requests or emits events; begin_pass() returns at once */
 };
 
 static void begin_pass (FkPassEngine *self);
@@ -54,8 +54,8 @@
   g_queue_init (&self->waiting);
   g_queue_init (&self->parts);
   self->running = g_ptr_array_new ();
-  self->read = g_ptr_array_new ();
-  self->writers = g_ptr_array_new ();
+  self->prefilled = g_ptr_array_new ();
+  self->decoding = g_ptr_array_new ();
   return self;
 }
 
@@ -68,22 +68,22 @@
   g_queue_clear_full (&self->waiting, g_free);
   g_queue_clear (&self->parts);
   g_ptr_array_unref (self->running);
-  g_ptr_array_unref (self->read);
-  g_ptr_array_unref (self->writers);
+  g_ptr_array_unref (self->prefilled);
+  g_ptr_array_unref (self->decoding);
   g_free (self);
 }
 
 double
-fk_pass_engine_read_ms (const FkPassEngine *self)
+fk_pass_engine_prefill_ms (const FkPassEngine *self)
 {
-  return self->read_ms;
+  return self->prefill_ms;
 }
 
 static double
 context_of (const FkPassRequest *request)
 {
   return (double)request->demand.prompt_tokens
-         + (double)request->made * (double)request->engine->spec->stride;
+         + (double)request->events_made * (double)request->engine->spec->stride;
 }
 
 static double
@@ -91,39 +91,39 @@
 {
   double context = 0;
 
-  for (guint i = 0; i < self->writers->len; i++)
-    context += context_of (g_ptr_array_index (self->writers, i));
-  return self->spec->step_ms + self->writers->len * self->spec->stream_step_ms
+  for (guint i = 0; i < self->decoding->len; i++)
+    context += context_of (g_ptr_array_index (self->decoding, i));
+  return self->spec->step_ms + self->decoding->len * self->spec->stream_step_ms
          + context / 1000 * self->spec->context_ms_per_k;
 }
 
 /* Prefills up to `chunk` tokens from the head of the queue; returns the time that it takes, in ms.
  */
 static double
-read_chunk (FkPassEngine *self)
+prefill_chunk (FkPassEngine *self)
 {
-  double room = self->spec->chunk;
+  double tokens_left = self->spec->chunk;
   double ms = 0;
 
-  while (room > 0 && !g_queue_is_empty (&self->parts))
+  while (tokens_left > 0 && !g_queue_is_empty (&self->parts))
     {
       Part *part = g_queue_peek_head (&self->parts);
-      double tokens = MIN (room, part->tokens);
+      double tokens = MIN (tokens_left, part->tokens);
 
       part->tokens -= tokens;
-      room -= tokens;
+      tokens_left -= tokens;
       ms += tokens * part->ms_per_token;
       if (part->tokens > 0)
         break;
       g_queue_pop_head (&self->parts);
-      g_ptr_array_add (self->read, part);
+      g_ptr_array_add (self->prefilled, part);
     }
-  self->read_ms += ms;
+  self->prefill_ms += ms;
   return ms;
 }
 
 static KnlTime
-time_of (double ms)
+ms_to_time (double ms)
 {
   return MAX ((KnlTime)(ms * KNL_MSEC), 1);
 }
@@ -139,40 +139,40 @@
   self->began_at = knl_kernel_now (self->kernel);
   if (g_queue_is_empty (&self->parts))
     {
-      self->plain = self->steps;
+      self->decode_steps = self->steps;
       ms *= self->steps;
     }
   else
     {
-      self->plain = 0;
-      ms += read_chunk (self);
+      self->decode_steps = 0;
+      ms += prefill_chunk (self);
     }
-  self->timer = knl_timer_start (self->kernel, time_of (ms), on_steps_end, self);
+  self->timer = knl_timer_start (self->kernel, ms_to_time (ms), on_steps_end, self);
 }
 
 /* Shortens a run of decode-only steps when a part is queued: prefill begins after the current step.
  */
 static void
-cut_plain_steps (FkPassEngine *self)
+cut_decode_steps (FkPassEngine *self)
 {
-  KnlTime step = time_of (step_ms (self));
+  KnlTime step = ms_to_time (step_ms (self));
   KnlTime passed = knl_kernel_now (self->kernel) - self->began_at;
   guint begun = (guint)(passed / step) + 1;
 
-  if (self->timer == 0 || self->plain == 0 || begun >= self->plain)
+  if (self->timer == 0 || self->decode_steps == 0 || begun >= self->decode_steps)
     return;
   knl_timer_stop (self->kernel, &self->timer);
-  self->plain = begun;
+  self->decode_steps = begun;
   self->timer = knl_timer_start (self->kernel, begun * step - passed, on_steps_end, self);
 }
 
 static void
-take_part (FkPassEngine *self)
+wake_for_prefill (FkPassEngine *self)
 {
   if (self->timer == 0)
     begin_pass (self);
   else
-    cut_plain_steps (self);
+    cut_decode_steps (self);
 }
 
 static void
@@ -183,7 +183,7 @@
   double ms =
       sv_model_prefill_ms (request->engine->spec, (double)request->demand.prompt_tokens) / n;
 
-  request->unread = n;
+  request->parts_left = n;
   for (guint i = 0; i < n; i++)
     {
       Part *part = &request->parts[i];
@@ -198,7 +198,7 @@
         g_queue_push_head (&part->engine->parts, part);
     }
   for (guint i = 0; i < n; i++)
-    take_part (request->parts[i].engine);
+    wake_for_prefill (request->parts[i].engine);
 }
 
 static void
@@ -235,11 +235,11 @@
 }
 
 static void
-make_event (FkPassRequest *request)
+emit_event (FkPassRequest *request)
 {
-  request->events->event (request->data, request->made);
-  request->made++;
-  if (request->made == request->demand.events)
+  request->events->event (request->data, request->events_made);
+  request->events_made++;
+  if (request->events_made == request->demand.events)
     end_request (request);
 }
 
@@ -248,20 +248,20 @@
 static void
 end_pass (FkPassEngine *self)
 {
-  self->is_ending = TRUE;
-  for (guint i = 0; i < self->writers->len; i++)
-    make_event (g_ptr_array_index (self->writers, i));
-  for (guint i = 0; i < self->read->len; i++)
+  self->is_between_passes = TRUE;
+  for (guint i = 0; i < self->decoding->len; i++)
+    emit_event (g_ptr_array_index (self->decoding, i));
+  for (guint i = 0; i < self->prefilled->len; i++)
     {
-      FkPassRequest *request = ((Part *)g_ptr_array_index (self->read, i))->request;
+      FkPassRequest *request = ((Part *)g_ptr_array_index (self->prefilled, i))->request;
       FkPassEngine *engine = request->engine;
 
-      if (--request->unread > 0)
+      if (--request->parts_left > 0)
         continue;
-      make_event (request);
+      emit_event (request);
       begin_pass (engine);
     }
-  self->is_ending = FALSE;
+  self->is_between_passes = FALSE;
   begin_pass (self);
 }
 
@@ -271,7 +271,7 @@
   FkPassEngine *self = data;
 
   self->timer = 0;
-  self->steps -= MAX (self->plain, 1);
+  self->steps -= MAX (self->decode_steps, 1);
   if (self->steps > 0)
     begin_steps (self);
   else
@@ -281,23 +281,23 @@
 static void
 begin_pass (FkPassEngine *self)
 {
-  if (self->timer != 0 || self->is_ending)
+  if (self->timer != 0 || self->is_between_passes)
     return;
-  self->is_ending = TRUE;
+  self->is_between_passes = TRUE;
   admit (self);
-  self->is_ending = FALSE;
-  g_ptr_array_set_size (self->read, 0);
-  g_ptr_array_set_size (self->writers, 0);
+  self->is_between_passes = FALSE;
+  g_ptr_array_set_size (self->prefilled, 0);
+  g_ptr_array_set_size (self->decoding, 0);
   for (guint i = 0; i < self->running->len; i++)
     {
       FkPassRequest *request = g_ptr_array_index (self->running, i);
 
-      if (request->unread == 0)
-        g_ptr_array_add (self->writers, request);
+      if (request->parts_left == 0)
+        g_ptr_array_add (self->decoding, request);
     }
-  if (self->writers->len == 0 && g_queue_is_empty (&self->parts))
+  if (self->decoding->len == 0 && g_queue_is_empty (&self->parts))
     return;
-  self->steps = self->writers->len > 0 ? self->spec->stride : 1;
+  self->steps = self->decoding->len > 0 ? self->spec->stride : 1;
   begin_steps (self);
 }
 
--- a/tests/fakes/pass_engine.h
+++ b/tests/fakes/pass_engine.h
@@ -48,4 +48,4 @@
                                       gpointer data);
 
 /** Time that the engine has spent on prefill so far, in ms. */
-double fk_pass_engine_read_ms (const FkPassEngine *engine);
+double fk_pass_engine_prefill_ms (const FkPassEngine *engine);
--- a/tests/fakes/scripted_endpoint.c
+++ b/tests/fakes/scripted_endpoint.c
@@ -26,7 +26,7 @@
   const ScriptedAnswer *script;
   guint n_script;
   guint n_requests;
-  guint n_ended;
+  guint n_closed_by_peer;
   HtMessage *newest;
   GHashTable *links;
 };
@@ -96,7 +96,7 @@
 {
   Link *self = data;
 
-  self->endpoint->n_ended++;
+  self->endpoint->n_closed_by_peer++;
   g_hash_table_remove (self->endpoint->links, self);
 }
 
@@ -167,9 +167,9 @@
 }
 
 guint
-scripted_endpoint_n_ended (const ScriptedEndpoint *self)
+scripted_endpoint_n_closed_by_peer (const ScriptedEndpoint *self)
 {
-  return self->n_ended;
+  return self->n_closed_by_peer;
 }
 
 const char *
--- a/tests/fakes/scripted_endpoint.h
+++ b/tests/fakes/scripted_endpoint.h
@@ -38,4 +38,4 @@
 const char *scripted_endpoint_body (const ScriptedEndpoint *endpoint);
 
 /** Number of connections that the other side has closed. */
-guint scripted_endpoint_n_ended (const ScriptedEndpoint *endpoint);
+guint scripted_endpoint_n_closed_by_peer (const ScriptedEndpoint *endpoint);
--- a/tests/faults/cluster.c
+++ b/tests/faults/cluster.c
@@ -45,13 +45,13 @@
 
 /** Starts a proxy in front of a node whose address is already set. */
 static void
-node_proxy (HnCluster *cluster, HnNode *node, const char *name)
+start_proxy (HnCluster *cluster, HnNode *node, const char *name)
 {
   Arguments arguments = { 0 };
 
-  node->reached = hn_address_new (cluster->harness);
+  node->connect_address = hn_address_new (cluster->harness);
   node->control = hn_address_new (cluster->harness);
-  add (&arguments, "--listen-address", node->reached);
+  add (&arguments, "--listen-address", node->connect_address);
   add (&arguments, "--target-address", node->address);
   add (&arguments, "--control-address", node->control);
   node->proxy = hn_start (cluster->harness, name, "tests/standins/standin-proxy", arguments.list);
@@ -62,9 +62,9 @@
 node_init (HnCluster *cluster, HnNode *node, HnProxies proxied, const char *name)
 {
   node->address = hn_address_new (cluster->harness);
-  node->reached = node->address;
+  node->connect_address = node->address;
   if (cluster->options.proxies & proxied)
-    node_proxy (cluster, node, name);
+    start_proxy (cluster, node, name);
 }
 
 static void
@@ -91,7 +91,7 @@
   add (&arguments, "--label", "engines");
   add (&arguments, "--zone", zones[index % G_N_ELEMENTS (zones)]);
   add (&arguments, "--listen-address", node->address);
-  add (&arguments, "--advertised-address", node->reached);
+  add (&arguments, "--advertised-address", node->connect_address);
   add (&arguments, "--platform-address", cluster->platform.address);
   add_all (&arguments, standard_engine);
   add_all (&arguments, cluster->options.engine_arguments);
@@ -110,7 +110,7 @@
   add (&arguments, "--name", "desk-0");
   add (&arguments, "--label", "desk");
   add (&arguments, "--listen-address", node->address);
-  add (&arguments, "--advertised-address", node->reached);
+  add (&arguments, "--advertised-address", node->connect_address);
   add (&arguments, "--platform-address", cluster->platform.address);
   node->process =
       hn_start (cluster->harness, "service", "tests/standins/standin-service", arguments.list);
@@ -136,7 +136,7 @@
   add_common (&arguments, instance);
   add (&arguments, "--listen-address", instance->controller.address);
   add (&arguments, "--http-address", instance->operators);
-  add (&arguments, "--platform-address", instance->platform.reached);
+  add (&arguments, "--platform-address", instance->platform.connect_address);
   add (&arguments, "--entry-address", instance->entry.address);
   add_all (&arguments, cluster->options.controller_arguments);
   instance->controller.process =
@@ -151,7 +151,7 @@
 
   add_common (&arguments, instance);
   add (&arguments, "--listen-address", instance->entry.address);
-  add (&arguments, "--controller-address", instance->controller.reached);
+  add (&arguments, "--controller-address", instance->controller.connect_address);
   add (&arguments, "--keep-ms", "1000");
   add_all (&arguments, cluster->options.entry_arguments);
   instance->entry.process =
@@ -161,7 +161,10 @@
 /** Registers a process in the platform's list of instances. A real platform knows its instances;
  * the stand-in needs them registered. */
 static void
-list_process (HnCluster *cluster, const HnInstance *instance, const char *kind, const char *address)
+register_process (HnCluster *cluster,
+                  const HnInstance *instance,
+                  const char *kind,
+                  const char *address)
 {
   char *path = g_strdup_printf ("/instances/%s/%s", kind, instance->name);
   char *body = g_strdup_printf ("{\"name\":\"%s\",\"kind\":\"%s\",\"address\":\"%s\","
@@ -171,7 +174,7 @@
     .address = cluster->platform.address, .method = "PUT", .path = path, .body = body
   };
 
-  g_assert (hn_ask (cluster->harness, &request, NULL) == 200);
+  g_assert (hn_request (cluster->harness, &request, NULL) == 200);
   g_free (body);
   g_free (path);
 }
@@ -186,13 +189,13 @@
   instance->operators = hn_address_new (cluster->harness);
   instance->platform = cluster->platform;
   if (cluster->options.proxies & HN_PROXY_PLATFORM)
-    node_proxy (cluster, &instance->platform, "platform-proxy");
+    start_proxy (cluster, &instance->platform, "platform-proxy");
   node_init (cluster, &instance->controller, HN_PROXY_LINK, "link-proxy");
   node_init (cluster, &instance->entry, 0, NULL);
   hn_cluster_start_controller (cluster, index);
   hn_cluster_start_entry (cluster, index);
-  list_process (cluster, instance, "controller", instance->controller.address);
-  list_process (cluster, instance, "entry", instance->entry.address);
+  register_process (cluster, instance, "controller", instance->controller.address);
+  register_process (cluster, instance, "entry", instance->entry.address);
 }
 
 /** Sends requests until one is answered with 200: credits are granted only once the controllers
@@ -209,7 +212,7 @@
   };
   guint tries = 0;
 
-  while (hn_ask (cluster->harness, &request, NULL) != 200)
+  while (hn_request (cluster->harness, &request, NULL) != 200)
     g_assert (++tries < 10);
 }
 
@@ -227,7 +230,7 @@
   g_assert (file >= 0);
   close (file);
   g_assert (g_file_set_contents (path, text, -1, NULL));
-  if (hn_control (cluster, command, &output) != 0)
+  if (hn_run_alderturnctl (cluster, command, &output) != 0)
     g_error ("%s: %s", command, output);
   g_free (output);
   g_free (command);
@@ -285,11 +288,11 @@
     .body = fault,
   };
 
-  g_assert (hn_ask (cluster->harness, &request, NULL) == 200);
+  g_assert (hn_request (cluster->harness, &request, NULL) == 200);
 }
 
 int
-hn_control (HnCluster *cluster, const char *command, char **output)
+hn_run_alderturnctl (HnCluster *cluster, const char *command, char **output)
 {
   Arguments arguments = { 0 };
   char *addresses = g_strdup (cluster->instances[0].operators);
@@ -307,7 +310,7 @@
   add (&arguments, "--operator-token", HN_OPERATOR);
   add (&arguments, command, NULL);
   process = hn_start (cluster->harness, "alderturnctl", "ctl/alderturnctl", arguments.list);
-  status = hn_await_exit (process, HN_LIMIT);
+  status = hn_await_exit (process, HN_TIMEOUT);
   if (output != NULL)
     *output = g_strdup (hn_output (process));
   g_free (addresses);
@@ -343,7 +346,7 @@
 hn_load_await (HnProcess *load)
 {
   HnLoad result = { 0 };
-  int status = hn_await_exit (load, 3 * HN_LIMIT);
+  int status = hn_await_exit (load, 3 * HN_TIMEOUT);
   json_t *output = json_loads (hn_output (load), 0, NULL);
   json_t *classes = json_object_get (output, "classes");
 
@@ -353,12 +356,12 @@
       json_t *row = json_array_get (classes, i);
 
       result.started += (guint)json_integer_value (json_object_get (row, "started"));
-      result.whole += (guint)json_integer_value (json_object_get (row, "whole"));
+      result.completed += (guint)json_integer_value (json_object_get (row, "whole"));
       result.wrong += (guint)json_integer_value (json_object_get (row, "wrong"));
       result.retries += (guint)json_integer_value (json_object_get (row, "retries"));
     }
-  printf ("[%u started, %u whole, %u retries] ", result.started, result.whole, result.retries);
-  if (result.whole < result.started)
+  printf ("[%u started, %u whole, %u retries] ", result.started, result.completed, result.retries);
+  if (result.completed < result.started)
     puts (hn_output (load));
   json_decref (output);
   return result;
--- a/tests/faults/cluster.h
+++ b/tests/faults/cluster.h
@@ -39,8 +39,9 @@
 {
   HnProcess *process;
   const char *address;
-  const char *reached; /**< where others connect: the proxy's address, or the process's own */
-  const char *control; /**< control address of the proxy, or NULL */
+  const char
+      *connect_address; /**< where others connect: the proxy's address, or the process's own */
+  const char *control;  /**< control address of the proxy, or NULL */
   HnProcess *proxy;
 } HnNode;
 
@@ -81,7 +82,7 @@
 
 /** Runs alderturnctl and returns its exit status. Sets `*output` to its standard output, to be
  * freed with g_free(); `output` may be NULL. */
-int hn_control (HnCluster *cluster, const char *command, char **output);
+int hn_run_alderturnctl (HnCluster *cluster, const char *command, char **output);
 
 /** Starts standin-load on all entries, for `milliseconds` at `rate` requests a second. */
 HnProcess *hn_load_start (HnCluster *cluster, guint rate, guint milliseconds);
@@ -90,7 +91,7 @@
 typedef struct
 {
   guint started;
-  guint whole;
+  guint completed;
   guint wrong;
   guint retries;
 } HnLoad;
--- a/tests/faults/command_line_test.c
+++ b/tests/faults/command_line_test.c
@@ -34,7 +34,7 @@
 {
   HnRequest request = { .address = address, .method = "POST", .path = "/fault", .body = fault };
 
-  CU_ASSERT_EQUAL (hn_ask (harness, &request, NULL), 200);
+  CU_ASSERT_EQUAL (hn_request (harness, &request, NULL), 200);
 }
 
 /* Starts alderturnctl with JSON output; `flags` is NULL-terminated, or NULL. */
@@ -60,7 +60,7 @@
 static int
 ctl_await (HnProcess *process, json_t **answer)
 {
-  int status = hn_await_exit (process, HN_LIMIT);
+  int status = hn_await_exit (process, HN_TIMEOUT);
 
   /* The process has ended. Its status is for the test to judge, not for the harness. */
   hn_kill (process);
--- a/tests/faults/gateway_test.c
+++ b/tests/faults/gateway_test.c
@@ -60,7 +60,7 @@
 settings_with_bound (Fixture *self, int revoke_ms)
 {
   const char *port = strchr (self->link, ':') + 1;
-  g_autofree char *ip = hn_own_ip (0);
+  g_autofree char *ip = hn_loopback_ip (0);
 
   return g_strdup_printf (SETTINGS_FORMAT, ip, port, port, self->callers, self->ready,
                           self->directory, row_store_address (self->store), revoke_ms);
@@ -126,7 +126,7 @@
   g_autofree char *text = g_strdup_printf ("\"event\":\"%s\"", event);
   gpointer pair[] = { self->process, text };
 
-  CU_ASSERT_TRUE (hn_await (self->harness, HN_LIMIT, has_event, pair));
+  CU_ASSERT_TRUE (hn_await (self->harness, HN_TIMEOUT, has_event, pair));
 }
 
 static HtHeadVerdict
@@ -168,7 +168,7 @@
   self->over = FALSE;
   self->status = 0;
   ht_client_send (self->client, &request, &events, self);
-  CU_ASSERT_TRUE (hn_await (self->harness, HN_LIMIT, is_over, self));
+  CU_ASSERT_TRUE (hn_await (self->harness, HN_TIMEOUT, is_over, self));
   return self->status;
 }
 
@@ -201,7 +201,7 @@
   CU_ASSERT_EQUAL (send_request (&fixture), 200);
   CU_ASSERT_TRUE (hn_await_status (fixture.harness, fixture.directory, "/resolve?zone=a", 200));
   hn_signal (fixture.process, SIGTERM);
-  CU_ASSERT_EQUAL (hn_await_exit (fixture.process, HN_LIMIT), 0);
+  CU_ASSERT_EQUAL (hn_await_exit (fixture.process, HN_TIMEOUT), 0);
   fixture_close (&fixture);
 }
 
@@ -220,7 +220,7 @@
   CU_ASSERT_TRUE (hn_await_status (fixture.harness, fixture.ready, "/ready", 503));
   CU_ASSERT_TRUE (hn_await_status (fixture.harness, fixture.directory, "/resolve?zone=a", 503));
   CU_ASSERT_EQUAL (send_request (&fixture), 200);
-  CU_ASSERT_EQUAL (hn_await_exit (fixture.process, HN_LIMIT), 0);
+  CU_ASSERT_EQUAL (hn_await_exit (fixture.process, HN_TIMEOUT), 0);
   fixture_close (&fixture);
 }
 
@@ -246,7 +246,7 @@
   row_store_set_era (fixture.store, 0);
   version = row_store_version (fixture.store);
   fill_store (&fixture);
-  CU_ASSERT_TRUE (hn_await (fixture.harness, HN_LIMIT, is_registered, &fixture));
+  CU_ASSERT_TRUE (hn_await (fixture.harness, HN_TIMEOUT, is_registered, &fixture));
   CU_ASSERT_TRUE (hn_await_status (fixture.harness, fixture.ready, "/ready", 200));
   row_store_restore (fixture.store, version);
   CU_ASSERT_FALSE (is_registered (&fixture));
--- a/tests/faults/harness.c
+++ b/tests/faults/harness.c
@@ -15,7 +15,7 @@
 #include "kernel/event_runtime.h"
 
 /** Interval at which ended processes are reaped and awaited conditions evaluated. */
-#define TICK_MS ((KnlTime)5)
+#define POLL_INTERVAL_MS ((KnlTime)5)
 
 #define DUMP_LINES 40
 
@@ -30,8 +30,8 @@
   struct bufferevent *output;
   struct bufferevent *log;
   GString *text;
-  GPtrArray *lines; /* json_t */
-  GString *noise;   /* lines of standard error that aren't JSON log lines */
+  GPtrArray *lines;     /* json_t */
+  GString *other_lines; /* lines of standard error that aren't JSON log lines */
 };
 
 static void
@@ -58,7 +58,7 @@
 hn_harness_new (void)
 {
   HnHarness *harness = g_new0 (HnHarness, 1);
-  struct timeval tick = { .tv_usec = TICK_MS * 1000 };
+  struct timeval tick = { .tv_usec = POLL_INTERVAL_MS * 1000 };
 
   signal (SIGPIPE, SIG_IGN);
   harness->base = event_base_new ();
@@ -74,7 +74,7 @@
 }
 
 char *
-hn_own_ip (guint index)
+hn_loopback_ip (guint index)
 {
   guint process = (guint)getpid ();
 
@@ -125,7 +125,7 @@
 }
 
 void
-hn_pass (HnHarness *harness, KnlTime time)
+hn_run_for (HnHarness *harness, KnlTime time)
 {
   hn_await (harness, time, never, NULL);
 }
@@ -156,7 +156,7 @@
       if (line != NULL)
         g_ptr_array_add (process->lines, line);
       else
-        g_string_append_printf (process->noise, "%s\n", text);
+        g_string_append_printf (process->other_lines, "%s\n", text);
       free (text);
     }
 }
@@ -206,7 +206,7 @@
   process->harness = harness;
   process->name = g_strdup (name);
   process->text = g_string_new (NULL);
-  process->noise = g_string_new (NULL);
+  process->other_lines = g_string_new (NULL);
   process->lines = g_ptr_array_new_with_free_func (free_line);
   process->output = watch (process, output, on_output);
   process->log = watch (process, log, on_log);
@@ -235,7 +235,7 @@
 {
   process->killed = TRUE;
   hn_signal (process, SIGKILL);
-  hn_await (process->harness, HN_LIMIT, has_ended, process);
+  hn_await (process->harness, HN_TIMEOUT, has_ended, process);
 }
 
 int
@@ -245,7 +245,7 @@
     return -1;
   /* Its last output may still be in the pipes. */
   on_output (process->output, process);
-  hn_pass (process->harness, 2 * TICK_MS * KNL_MSEC);
+  hn_run_for (process->harness, 2 * POLL_INTERVAL_MS * KNL_MSEC);
   return process->status;
 }
 
@@ -256,7 +256,7 @@
 }
 
 static gboolean
-line_is (const json_t *line, const char *event, const char *field, const char *value)
+line_matches (const json_t *line, const char *event, const char *field, const char *value)
 {
   if (g_strcmp0 (json_string_value (json_object_get (line, "event")), event) != 0)
     return FALSE;
@@ -269,7 +269,7 @@
   guint count = 0;
 
   for (guint i = 0; i < process->lines->len; i++)
-    count += line_is (g_ptr_array_index (process->lines, i), event, field, value);
+    count += line_matches (g_ptr_array_index (process->lines, i), event, field, value);
   return count;
 }
 
@@ -299,7 +299,7 @@
 {
   Wanted wanted = { process, event, field, value, count };
 
-  return hn_await (process->harness, HN_LIMIT, is_counted, &wanted);
+  return hn_await (process->harness, HN_TIMEOUT, is_counted, &wanted);
 }
 
 const json_t *
@@ -307,7 +307,7 @@
 {
   for (guint i = process->lines->len; i > 0; i--)
     {
-      if (line_is (g_ptr_array_index (process->lines, i - 1), event, NULL, NULL))
+      if (line_matches (g_ptr_array_index (process->lines, i - 1), event, NULL, NULL))
         return g_ptr_array_index (process->lines, i - 1);
     }
   return NULL;
@@ -327,7 +327,7 @@
       puts (text);
       free (text);
     }
-  fputs (process->noise->str, stdout);
+  fputs (process->other_lines->str, stdout);
 }
 
 /** Whether the process ended as expected and logged neither a sanitizer report nor a failed
@@ -337,8 +337,8 @@
 {
   gboolean clean = process->ended && (process->killed || process->status == 0);
 
-  return clean && strstr (process->noise->str, "ERROR: ") == NULL
-         && strstr (process->noise->str, "runtime error") == NULL
+  return clean && strstr (process->other_lines->str, "ERROR: ") == NULL
+         && strstr (process->other_lines->str, "runtime error") == NULL
          && hn_count (process, "invariant-failed", NULL, NULL) == 0;
 }
 
@@ -348,7 +348,7 @@
   bufferevent_free (process->output);
   bufferevent_free (process->log);
   g_string_free (process->text, TRUE);
-  g_string_free (process->noise, TRUE);
+  g_string_free (process->other_lines, TRUE);
   g_ptr_array_unref (process->lines);
   g_free (process->name);
   g_free (process);
@@ -381,10 +381,10 @@
 
   signal_all (harness, SIGCONT);
   signal_all (harness, SIGTERM);
-  if (!hn_await (harness, HN_LIMIT, all_ended, harness))
+  if (!hn_await (harness, HN_TIMEOUT, all_ended, harness))
     signal_all (harness, SIGKILL);
-  hn_await (harness, HN_LIMIT, all_ended, harness);
-  hn_pass (harness, 4 * TICK_MS * KNL_MSEC);
+  hn_await (harness, HN_TIMEOUT, all_ended, harness);
+  hn_run_for (harness, 4 * POLL_INTERVAL_MS * KNL_MSEC);
   for (guint i = 0; i < harness->processes->len; i++)
     clean = is_clean (g_ptr_array_index (harness->processes, i)) && clean;
   for (guint i = 0; i < harness->processes->len; i++)
--- a/tests/faults/harness.h
+++ b/tests/faults/harness.h
@@ -15,7 +15,7 @@
 /** Time limit for conditions that are expected within a few seconds; long enough for a busy
  * machine.
  */
-#define HN_LIMIT (30 * KNL_SEC)
+#define HN_TIMEOUT (30 * KNL_SEC)
 
 typedef struct HnProcess HnProcess;
 typedef struct HnCall HnCall;
@@ -46,7 +46,7 @@
  * Gateways serve their metrics at a fixed port of their IP address: with a common one, a gateway of
  * a second run of the tests at the same time would not start.
  */
-char *hn_own_ip (guint index);
+char *hn_loopback_ip (guint index);
 
 /** Returns "127.0.0.1:PORT", reserved while the harness exists, also across restarts of a process
  * that listens there; owned by the harness. */
@@ -57,7 +57,7 @@
 hn_await (HnHarness *harness, KnlTime limit, gboolean (*done) (gpointer data), gpointer data);
 
 /** Runs the event loop for `time`, for tests that need a load to continue. */
-void hn_pass (HnHarness *harness, KnlTime time);
+void hn_run_for (HnHarness *harness, KnlTime time);
 
 /* Processes */
 
@@ -121,7 +121,7 @@
 
 /** Makes a call and waits for its end; returns the status, or 0. Sets `*answer` to the body as
  * JSON, to be released by json_decref(), or NULL; `answer` may be NULL. */
-int hn_ask (HnHarness *harness, const HnRequest *request, json_t **answer);
+int hn_request (HnHarness *harness, const HnRequest *request, json_t **answer);
 
 /** Repeats a GET of `path` until its status is `status`. */
 gboolean hn_await_status (HnHarness *harness, const char *address, const char *path, int status);
--- a/tests/faults/harness_http.c
+++ b/tests/faults/harness_http.c
@@ -140,7 +140,7 @@
 {
   Text wanted = { call, text };
 
-  hn_await (call->harness, HN_LIMIT, has_text, &wanted);
+  hn_await (call->harness, HN_TIMEOUT, has_text, &wanted);
   return strstr (call->body->str, text) != NULL;
 }
 
@@ -157,12 +157,12 @@
 }
 
 int
-hn_ask (HnHarness *harness, const HnRequest *request, json_t **answer)
+hn_request (HnHarness *harness, const HnRequest *request, json_t **answer)
 {
   HnCall *call = hn_call_start (harness, request);
   int status;
 
-  hn_call_await (call, HN_LIMIT);
+  hn_call_await (call, HN_TIMEOUT);
   status = call->over ? call->status : 0;
   if (answer != NULL)
     *answer = json_loads (call->body->str, JSON_DECODE_ANY, NULL);
@@ -171,19 +171,19 @@
 }
 
 /** Delay between two requests while an expected status is awaited. */
-#define ASK_PAUSE (20 * KNL_MSEC)
+#define RETRY_DELAY (20 * KNL_MSEC)
 
 gboolean
 hn_await_status (HnHarness *harness, const char *address, const char *path, int status)
 {
   HnRequest request = { .address = address, .path = path };
-  KnlTime end = knl_kernel_now (harness->kernel) + HN_LIMIT;
+  KnlTime end = knl_kernel_now (harness->kernel) + HN_TIMEOUT;
 
-  while (hn_ask (harness, &request, NULL) != status)
+  while (hn_request (harness, &request, NULL) != status)
     {
       if (knl_kernel_now (harness->kernel) >= end)
         return FALSE;
-      hn_pass (harness, ASK_PAUSE);
+      hn_run_for (harness, RETRY_DELAY);
     }
   return TRUE;
 }
--- a/tests/faults/link_test.c
+++ b/tests/faults/link_test.c
@@ -21,7 +21,7 @@
     .body = completion,
   };
 
-  return hn_ask (cluster->harness, &request, NULL);
+  return hn_request (cluster->harness, &request, NULL);
 }
 
 /* The controller may detect the silence itself, or close the old link when the entry opens a new
@@ -56,11 +56,11 @@
   hn_fault (cluster, &instance->controller, "{\"mode\":\"freeze\"}");
   CU_ASSERT_TRUE (hn_await_count (instance->entry.process, "link-closed", "reason", "silent", 1));
   CU_ASSERT_TRUE (
-      hn_await (cluster->harness, HN_LIMIT, old_link_is_closed, instance->controller.process));
+      hn_await (cluster->harness, HN_TIMEOUT, old_link_is_closed, instance->controller.process));
   CU_ASSERT_TRUE (hn_await_count (instance->entry.process, "controller-link-open", NULL, NULL, 2));
   CU_ASSERT_EQUAL (complete (cluster, instance->entry.address), 200);
   result = hn_load_await (load);
-  CU_ASSERT_EQUAL (result.whole, result.started);
+  CU_ASSERT_EQUAL (result.completed, result.started);
   CU_ASSERT_EQUAL (hn_count (instance->entry.process, "link-closed", "reason", "silent"), 1);
   CU_ASSERT_EQUAL (old_links_closed (instance->controller.process), 1);
   CU_ASSERT_TRUE (hn_cluster_free (cluster));
@@ -71,7 +71,7 @@
  * connects to this deployment's controller and can't prove that it knows the secret.
  */
 static void
-test_a_wrong_secret_is_refused_and_disturbs_nobody (void)
+test_a_wrong_secret_is_refused_and_affects_no_instance (void)
 {
   HnCluster *cluster = hn_cluster_new (&(HnClusterOptions){ 0 });
   HnInstance *instance = &cluster->instances[0];
@@ -100,8 +100,8 @@
       hn_await_count (instance->controller.process, "link-closed", "peer", "stranger", 2));
   CU_ASSERT_EQUAL (hn_count (stranger, "controller-link-open", NULL, NULL), 0);
   CU_ASSERT_EQUAL (hn_count (instance->controller.process, "link-open", "peer", "stranger"), 0);
-  CU_ASSERT_EQUAL (hn_ask (cluster->harness, &ready, NULL), 503);
-  CU_ASSERT_EQUAL (hn_ask (cluster->harness, &members, &answer), 200);
+  CU_ASSERT_EQUAL (hn_request (cluster->harness, &ready, NULL), 503);
+  CU_ASSERT_EQUAL (hn_request (cluster->harness, &members, &answer), 200);
   text = json_dumps (answer, 0);
   CU_ASSERT_PTR_NULL (strstr (text, "stranger"));
   free (text);
@@ -119,7 +119,7 @@
 static const SuiteCase cases[] = {
   { "a silent link is replaced", test_a_silent_link_is_replaced },
   { "a wrong secret is refused and disturbs nobody",
-    test_a_wrong_secret_is_refused_and_disturbs_nobody },
+    test_a_wrong_secret_is_refused_and_affects_no_instance },
 };
 
 SUITE_MAIN ("link", cases)
--- a/tests/faults/promises_test.c
+++ b/tests/faults/promises_test.c
@@ -106,7 +106,7 @@
 
 typedef enum
 {
-  ANSWER_WHOLE,
+  ANSWER_COMPLETE,
   ANSWER_ERROR, /* ended by an error event; the tokens before it are the start of the answer */
   ANSWER_WRONG, /* has wrong tokens, is cut without an error, or hasn't ended at the limit */
 } Answer;
@@ -126,7 +126,7 @@
   if (!over)
     answer = ANSWER_WRONG;
   else if (strstr (body, "event: done") != NULL && g_string_equal (text, expected))
-    answer = ANSWER_WHOLE;
+    answer = ANSWER_COMPLETE;
   else if (strstr (body, "\"error\":{") != NULL && g_str_has_prefix (expected->str, text->str))
     answer = ANSWER_ERROR;
   if (answer == ANSWER_WRONG)
@@ -144,7 +144,7 @@
   HnRequest request = { .address = cluster->instances[0].entry.address,
                         .path = "/v1/operator/requests",
                         .token = HN_OPERATOR };
-  KnlTime end = knl_kernel_now (cluster->harness->kernel) + HN_LIMIT;
+  KnlTime end = knl_kernel_now (cluster->harness->kernel) + HN_TIMEOUT;
   int found = -1;
 
   while (found < 0 && knl_kernel_now (cluster->harness->kernel) < end
@@ -154,7 +154,7 @@
       json_t *row;
       const char *engine;
 
-      hn_ask (cluster->harness, &request, &answer);
+      hn_request (cluster->harness, &request, &answer);
       row = json_array_get (json_object_get (answer, "rows"), 0);
       engine = json_string_value (json_object_get (row, "engine"));
       if (engine != NULL && g_str_has_prefix (engine, "engine-"))
@@ -196,15 +196,15 @@
 {
   Answer answer = ANSWER_WRONG;
 
-  for (guint tries = 0; answer != ANSWER_WHOLE && tries < 30; tries++)
+  for (guint tries = 0; answer != ANSWER_COMPLETE && tries < 30; tries++)
     {
       Completion completion = completion_start (cluster, unique, 1000, ANSWER_TOKENS, LIMIT_TEXT);
 
       answer = completion_await (&completion);
       completion_clear (&completion);
-      hn_pass (cluster->harness, answer != ANSWER_WHOLE ? KNL_SEC : 0);
+      hn_run_for (cluster->harness, answer != ANSWER_COMPLETE ? KNL_SEC : 0);
     }
-  CU_ASSERT_EQUAL (answer, ANSWER_WHOLE);
+  CU_ASSERT_EQUAL (answer, ANSWER_COMPLETE);
 }
 
 static void
@@ -234,9 +234,9 @@
                        phase == PHASE_STREAM);
     }
   answer = completion_await (&completion);
-  if (answer != (phase == PHASE_CONNECT ? ANSWER_ERROR : ANSWER_WHOLE))
+  if (answer != (phase == PHASE_CONNECT ? ANSWER_ERROR : ANSWER_COMPLETE))
     printf ("[%s: answer %d: %.300s] ", unique, answer, hn_call_body (completion.call));
-  CU_ASSERT_EQUAL (answer, phase == PHASE_CONNECT ? ANSWER_ERROR : ANSWER_WHOLE);
+  CU_ASSERT_EQUAL (answer, phase == PHASE_CONNECT ? ANSWER_ERROR : ANSWER_COMPLETE);
   completion_clear (&completion);
   for (guint i = first; i <= last; i++)
     end_fault (cluster, i, fault);
@@ -251,7 +251,7 @@
  * engine with that of another without comparing them.
  */
 static void
-test_an_answer_is_whole_or_an_error_within_its_limit (void)
+test_an_answer_is_complete_or_an_error_within_its_limit (void)
 {
   HnCluster *cluster = hn_cluster_new (&(HnClusterOptions){
       .engines = ENGINES, .proxies = HN_PROXY_ENGINE, .engine_arguments = slow_engine });
@@ -265,12 +265,12 @@
 typedef struct
 {
   HnCluster *cluster;
-  gboolean taken; /* the awaited state */
+  gboolean is_used; /* the awaited state */
 } Memory;
 
 /* Whether the engines report memory in use, or none, as awaited. */
 static gboolean
-memory_is (gpointer data)
+memory_use_is (gpointer data)
 {
   const Memory *wanted = data;
   HnCluster *cluster = wanted->cluster;
@@ -280,16 +280,17 @@
     {
       json_t *report = NULL;
 
-      hn_ask (cluster->harness,
-              &(HnRequest){ .address = cluster->engines[i].address, .path = "/v1/load" }, &report);
+      hn_request (cluster->harness,
+                  &(HnRequest){ .address = cluster->engines[i].address, .path = "/v1/load" },
+                  &report);
       /* Cached tokens don't count: the prefix cache frees them when a request needs the memory. */
       used += json_integer_value (json_object_get (report, "used_tokens"))
               - json_integer_value (json_object_get (report, "cached_tokens"));
       used += (json_int_t)json_array_size (json_object_get (report, "running"));
       json_decref (report);
     }
-  hn_pass (cluster->harness, 100 * KNL_MSEC);
-  return (used > 0) == wanted->taken;
+  hn_run_for (cluster->harness, 100 * KNL_MSEC);
+  return (used > 0) == wanted->is_used;
 }
 
 /*
@@ -305,11 +306,11 @@
   Completion completion = completion_start (cluster, "long answer", 20000, 30000, "600000");
 
   CU_ASSERT_TRUE (hn_call_await_text (completion.call, "\"offset\":20"));
-  CU_ASSERT_TRUE (hn_await (cluster->harness, HN_LIMIT, memory_is, &wanted));
+  CU_ASSERT_TRUE (hn_await (cluster->harness, HN_TIMEOUT, memory_use_is, &wanted));
   hn_kill (cluster->instances[0].entry.process);
   hn_cluster_start_entry (cluster, 0);
-  wanted.taken = FALSE;
-  CU_ASSERT_TRUE (hn_await (cluster->harness, HN_LIMIT, memory_is, &wanted));
+  wanted.is_used = FALSE;
+  CU_ASSERT_TRUE (hn_await (cluster->harness, HN_TIMEOUT, memory_use_is, &wanted));
   completion_clear (&completion);
   CU_ASSERT_TRUE (hn_cluster_free (cluster));
 }
@@ -321,8 +322,8 @@
   json_t *answer = NULL;
   json_int_t ran;
 
-  hn_ask (cluster->harness, &(HnRequest){ .address = cluster->service.address, .path = path },
-          &answer);
+  hn_request (cluster->harness, &(HnRequest){ .address = cluster->service.address, .path = path },
+              &answer);
   ran = json_integer_value (json_object_get (answer, "ran"));
   json_decref (answer);
   g_free (path);
@@ -345,10 +346,10 @@
 typedef struct
 {
   const char *name;
-  const char *desk;     /* fault of the service, or NULL */
-  const char *platform; /* fault of the platform, or NULL */
-  gboolean kills_entry; /* the first entry is killed once the service has run the call */
-  int runs;             /* expected number of executions; -1: at most one */
+  const char *service_fault; /* fault of the service, or NULL */
+  const char *platform;      /* fault of the platform, or NULL */
+  gboolean kills_entry;      /* the first entry is killed once the service has run the call */
+  int runs;                  /* expected number of executions; -1: at most one */
 } OnceRow;
 
 static const OnceRow once_rows[] = {
@@ -391,23 +392,23 @@
 {
   char *key = g_strdup_printf ("order-%u", round);
   HnCall *calls[4];
-  char told[G_N_ELEMENTS (calls) + 1] = { 0 };
+  char outcomes[G_N_ELEMENTS (calls) + 1] = { 0 };
   json_int_t ran;
 
-  if (row->desk != NULL)
-    hn_fault (cluster, &cluster->service, row->desk);
+  if (row->service_fault != NULL)
+    hn_fault (cluster, &cluster->service, row->service_fault);
   if (row->platform != NULL)
     hn_fault (cluster, &cluster->platform, row->platform);
   calls[0] = confirm (cluster, 0, key);
   if (row->kills_entry)
     {
-      CU_ASSERT_TRUE (
-          hn_await (cluster->harness, HN_LIMIT, has_run, &(Ran){ .cluster = cluster, .key = key }));
+      CU_ASSERT_TRUE (hn_await (cluster->harness, HN_TIMEOUT, has_run,
+                                &(Ran){ .cluster = cluster, .key = key }));
       hn_kill (cluster->instances[0].entry.process);
     }
   calls[1] = confirm (cluster, 1, key);
-  told[0] = confirm_await (calls[0]);
-  told[1] = confirm_await (calls[1]);
+  outcomes[0] = confirm_await (calls[0]);
+  outcomes[1] = confirm_await (calls[1]);
   if (row->kills_entry)
     hn_cluster_start_entry (cluster, 0);
   if (row->kills_entry)
@@ -417,14 +418,14 @@
   for (guint i = 2; i < G_N_ELEMENTS (calls); i++)
     calls[i] = confirm (cluster, i - 2, key);
   for (guint i = 2; i < G_N_ELEMENTS (calls); i++)
-    told[i] = confirm_await (calls[i]);
+    outcomes[i] = confirm_await (calls[i]);
   ran = runs_of (cluster, key);
-  printf ("[%s: told %s, ran %d] ", row->name, told, (int)ran);
+  printf ("[%s: told %s, ran %d] ", row->name, outcomes, (int)ran);
   CU_ASSERT_TRUE (ran <= 1);
   CU_ASSERT_TRUE (row->runs < 0 || ran == row->runs);
-  CU_ASSERT_TRUE (ran == 1 || strchr (told, 'd') == NULL);
-  CU_ASSERT_TRUE (ran == 0 || strspn (told, "n") < G_N_ELEMENTS (calls));
-  if (row->desk != NULL)
+  CU_ASSERT_TRUE (ran == 1 || strchr (outcomes, 'd') == NULL);
+  CU_ASSERT_TRUE (ran == 0 || strspn (outcomes, "n") < G_N_ELEMENTS (calls));
+  if (row->service_fault != NULL)
     hn_fault (cluster, &cluster->service, HEAL);
   if (row->platform != NULL)
     hn_fault (cluster, &cluster->platform, HEAL);
@@ -453,7 +454,7 @@
 
 static const SuiteCase cases[] = {
   { "an answer is whole or an error within its limit",
-    test_an_answer_is_whole_or_an_error_within_its_limit },
+    test_an_answer_is_complete_or_an_error_within_its_limit },
   { "memory of a killed entry comes back", test_memory_of_a_killed_entry_comes_back },
   { "a confirmation runs at most once", test_a_confirmation_runs_at_most_once },
 };
--- a/tests/faults/replacement_test.c
+++ b/tests/faults/replacement_test.c
@@ -12,12 +12,12 @@
 }
 
 static void
-assert_all_whole (HnProcess *load, guint least)
+assert_all_completed (HnProcess *load, guint least)
 {
   HnLoad result = hn_load_await (load);
 
   CU_ASSERT_TRUE (result.started >= least);
-  CU_ASSERT_EQUAL (result.whole, result.started);
+  CU_ASSERT_EQUAL (result.completed, result.started);
   CU_ASSERT_EQUAL (result.wrong, 0);
 }
 
@@ -33,7 +33,7 @@
   HnInstance *instance = &cluster->instances[0];
   HnProcess *load = hn_load_start (cluster, 10, 12000);
 
-  hn_pass (cluster->harness, 2 * KNL_SEC);
+  hn_run_for (cluster->harness, 2 * KNL_SEC);
   hn_kill (instance->controller.process);
   CU_ASSERT_TRUE (hn_await_count (instance->entry.process, "controller-link-open", NULL, NULL, 2));
   hn_cluster_start_controller (cluster, 0);
@@ -41,7 +41,7 @@
   CU_ASSERT_EQUAL (json_is_true (json_object_get (
                        hn_last (instance->entry.process, "controller-link-open"), "local")),
                    TRUE);
-  assert_all_whole (load, 80);
+  assert_all_completed (load, 80);
   CU_ASSERT_TRUE (hn_cluster_free (cluster));
 }
 
@@ -57,11 +57,11 @@
   HnInstance *instance = &cluster->instances[0];
   HnProcess *load = hn_load_start (cluster, 10, 12000);
 
-  hn_pass (cluster->harness, 2 * KNL_SEC);
+  hn_run_for (cluster->harness, 2 * KNL_SEC);
   CU_ASSERT_TRUE (hn_count (instance->entry.process, "request-ended", NULL, NULL) > 0);
   hn_signal (instance->entry.process, SIGTERM);
-  CU_ASSERT_EQUAL (hn_await_exit (instance->entry.process, HN_LIMIT), 0);
-  assert_all_whole (load, 80);
+  CU_ASSERT_EQUAL (hn_await_exit (instance->entry.process, HN_TIMEOUT), 0);
+  assert_all_completed (load, 80);
   CU_ASSERT_TRUE (hn_cluster_free (cluster));
 }
 
@@ -75,20 +75,20 @@
   HnCluster *cluster = cluster_new ();
   HnProcess *load = hn_load_start (cluster, 10, 30000);
 
-  hn_pass (cluster->harness, KNL_SEC);
+  hn_run_for (cluster->harness, KNL_SEC);
   for (guint i = 0; i < cluster->options.instances; i++)
     {
       HnInstance *instance = &cluster->instances[i];
 
       hn_signal (instance->entry.process, SIGTERM);
-      CU_ASSERT_EQUAL (hn_await_exit (instance->entry.process, HN_LIMIT), 0);
+      CU_ASSERT_EQUAL (hn_await_exit (instance->entry.process, HN_TIMEOUT), 0);
       hn_signal (instance->controller.process, SIGTERM);
-      CU_ASSERT_EQUAL (hn_await_exit (instance->controller.process, HN_LIMIT), 0);
+      CU_ASSERT_EQUAL (hn_await_exit (instance->controller.process, HN_TIMEOUT), 0);
       hn_cluster_start_controller (cluster, i);
       hn_cluster_start_entry (cluster, i);
       CU_ASSERT_TRUE (hn_await_status (cluster->harness, instance->entry.address, "/readyz", 200));
     }
-  assert_all_whole (load, 200);
+  assert_all_completed (load, 200);
   CU_ASSERT_TRUE (hn_cluster_free (cluster));
 }
 
--- a/tests/soak/era_return.c
+++ b/tests/soak/era_return.c
@@ -14,14 +14,14 @@
 #include "tests/fakes/row_store.h"
 #include "tests/faults/harness.h"
 
-/* Number of addresses that hn_own_ip() can give in one loopback network. */
-#define INSTANCES_MOST 250
+/* Number of addresses that hn_loopback_ip() can give in one loopback network. */
+#define MAX_INSTANCES 250
 
 /* Time after the start of all instances until only feeds use the store. */
-#define SETTLES (5 * KNL_SEC)
+#define SETTLE_TIME (5 * KNL_SEC)
 
 /* Delay after the restoration until the operator writes the lost configuration again. */
-#define WRITTEN_AFTER (300 * KNL_MSEC)
+#define REWRITE_DELAY (300 * KNL_MSEC)
 
 #define SETTINGS_FORMAT                                                                            \
   "{\"nodeName\":\"n%u\",\"zone\":\"z%u\",\"region\":\"r\",\"ip\":\"%s\","                         \
@@ -43,8 +43,8 @@
   RowStore *store;
   guint n;
   guint n_zones;
-  HnProcess *processes[INSTANCES_MOST];
-  char *files[INSTANCES_MOST];
+  HnProcess *processes[MAX_INSTANCES];
+  char *files[MAX_INSTANCES];
   const char *version; /* of the configuration that all instances should run */
 } Fleet;
 
@@ -59,7 +59,7 @@
 static void
 start_instance (Fleet *self, guint i)
 {
-  g_autofree char *ip = hn_own_ip (i);
+  g_autofree char *ip = hn_loopback_ip (i);
   g_autofree char *name = g_strdup_printf ("n%u", i);
   g_autofree char *text = NULL;
   const char *callers = hn_address_new (self->harness);
@@ -134,12 +134,12 @@
   guint busiest = 0;
 
   while ((listed_at == 0 || runs_at == 0)
-         && knl_kernel_now (self->harness->kernel) - from < HN_LIMIT)
+         && knl_kernel_now (self->harness->kernel) - from < HN_TIMEOUT)
     {
-      hn_pass (self->harness, 100 * KNL_MSEC);
+      hn_run_for (self->harness, 100 * KNL_MSEC);
       busiest = MAX (busiest, row_store_n_calls (self->store) - calls);
       calls = row_store_n_calls (self->store);
-      if (knl_kernel_now (self->harness->kernel) - from > WRITTEN_AFTER
+      if (knl_kernel_now (self->harness->kernel) - from > REWRITE_DELAY
           && strcmp (self->version, "2") == 0)
         {
           put_config (self, 3);
@@ -165,7 +165,7 @@
   if (argc != 3)
     return EXIT_FAILURE;
   signal (SIGPIPE, SIG_IGN);
-  fleet.n = MIN ((guint)strtoul (argv[1], NULL, 10), INSTANCES_MOST);
+  fleet.n = MIN ((guint)strtoul (argv[1], NULL, 10), MAX_INSTANCES);
   fleet.n_zones = MAX ((guint)strtoul (argv[2], NULL, 10), 1);
   fleet.harness = hn_harness_new ();
   fleet.store = row_store_new (fleet.harness->kernel, fleet.harness->base);
@@ -175,12 +175,12 @@
   for (guint i = 0; i < fleet.n; i++)
     start_instance (&fleet, i);
   fleet.version = "1";
-  if (!hn_await (fleet.harness, 4 * HN_LIMIT, all_run_and_listed, &fleet))
+  if (!hn_await (fleet.harness, 4 * HN_TIMEOUT, all_run_and_listed, &fleet))
     fprintf (stderr, "only %u of %u instances are listed\n", n_listed (&fleet), fleet.n);
   put_config (&fleet, 2);
   fleet.version = "2";
-  hn_await (fleet.harness, HN_LIMIT, all_run, &fleet);
-  hn_pass (fleet.harness, SETTLES);
+  hn_await (fleet.harness, HN_TIMEOUT, all_run, &fleet);
+  hn_run_for (fleet.harness, SETTLE_TIME);
   row_store_restore (fleet.store, copy);
   measure (&fleet, knl_kernel_now (fleet.harness->kernel));
   for (guint i = 0; i < fleet.n; i++)
--- a/tests/soak/gateway_soak.c
+++ b/tests/soak/gateway_soak.c
@@ -16,25 +16,25 @@
 #include "tests/unit/suite.h"
 
 /* Requests sent in each step. */
-#define AT_ONCE 4
+#define REQUESTS_PER_STEP 4
 
 /* Index of the endpoint that advertises from half of the run on that it is leaving. */
-#define LEAVER 1
+#define LEAVING_ENDPOINT 1
 
-#define STEP         (20 * KNL_MSEC)
-#define LIMIT        (2 * KNL_SEC)
-#define FAULT_EVERY  (300 * KNL_MSEC)
-#define REVOKE       (3 * KNL_SEC)
-#define ANSWER_SLACK (2 * KNL_SEC)
+#define STEP            (20 * KNL_MSEC)
+#define REQUEST_TIMEOUT (2 * KNL_SEC)
+#define FAULT_INTERVAL  (300 * KNL_MSEC)
+#define REVOKE_TIMEOUT  (3 * KNL_SEC)
+#define ANSWER_SLACK    (2 * KNL_SEC)
 
 /* One seed in this many injects no faults into the gateways' processes and the store's service. */
 #define CALM_SEEDS 3
 
 /* Time within which all instances that reach the store run the newest configuration. */
-#define SETTLED (4 * KNL_SEC)
+#define SETTLE_TIME (4 * KNL_SEC)
 
 /* How long a caller's key may work after it was withdrawn, including the duration of a request. */
-#define KEY_LIMIT (REVOKE + LIMIT)
+#define KEY_TIMEOUT (REVOKE_TIMEOUT + REQUEST_TIMEOUT)
 
 #define SETTINGS_FORMAT                                                                            \
   "{\"nodeName\":\"n%u\",\"zone\":\"a\",\"region\":\"r\",\"ip\":\"%s\","                           \
@@ -65,11 +65,11 @@
 static void
 report (Soak *self, const Request *request, const char *promise)
 {
-  self->broken++;
+  self->violations++;
   fprintf (stderr,
            "broken: %s: request %s to gateway-%d, once %d, status %u, runs %u, key of version %u, "
            "sent %" G_GINT64_FORMAT " ms and run %" G_GINT64_FORMAT " ms after the key went\n",
-           promise, request->id, (int)(request->gateway - self->gateways), request->once,
+           promise, request->id, (int)(request->gateway - self->gateways), request->is_at_most_once,
            request->status, request->runs, request->key,
            (request->sent_at - withdrawn_at (self, request)) / KNL_MSEC,
            (request->ran_at - withdrawn_at (self, request)) / KNL_MSEC);
@@ -136,14 +136,14 @@
   request->soak = self;
   request->gateway = gateway;
   request->id = g_strdup_printf ("r%u", self->next++);
-  request->once = g_rand_boolean (self->rand);
+  request->is_at_most_once = g_rand_boolean (self->rand);
   request->key = version;
   request->sent_at = gs_now (self);
   g_hash_table_insert (self->requests, request->id, request);
   key = request->key > 0 ? g_strdup_printf ("key-%u", request->key) : g_strdup ("key");
   head = g_strdup_printf ("GET /%s/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: %s\r\n"
                           "X-Deadline-Ms: 2000\r\nAuthorization: Bearer %s\r\n",
-                          request->once ? "once" : "again", request->id, key);
+                          request->is_at_most_once ? "once" : "again", request->id, key);
   exchange.address = request->gateway->callers;
   exchange.head = head;
   ht_client_send (self->client, &exchange, &caller_events, request);
@@ -168,7 +168,7 @@
 {
   Gateway *gateway = &self->gateways[i];
   const char *port = strchr (gateway->link, ':') + 1;
-  g_autofree char *ip = hn_own_ip (i);
+  g_autofree char *ip = hn_loopback_ip (i);
   g_autofree char *text =
       g_strdup_printf (SETTINGS_FORMAT, i, ip, port, port, gateway->callers, gateway->ready,
                        gateway->directory, row_store_address (self->store));
@@ -183,7 +183,7 @@
   g_autofree char *name = g_strdup_printf ("gateway-%u", i);
 
   gateway->faulted_at = gs_now (self);
-  gateway->told_at = 0;
+  gateway->limit_advertised_at = 0;
   gateway->process = hn_start (self->harness, name, "gateway/alderturn-gateway",
                                (const char *const[]){ "--boot", gateway->settings, NULL });
 }
@@ -212,15 +212,15 @@
 
   if (request->status == 200 && !request->is_own)
     report (self, request, "each caller receives the answer to its own request");
-  if (request->once && request->runs > 1)
+  if (request->is_at_most_once && request->runs > 1)
     report (self, request, "a request that is not idempotent runs at most once");
-  if (request->once && refused && request->runs > 0)
+  if (request->is_at_most_once && refused && request->runs > 0)
     report (self, request, "what is refused has not run");
-  if (request->ended_at == 0 && gs_now (self) - request->sent_at > LIMIT + ANSWER_SLACK
-      && gs_now (self) - request->gateway->faulted_at > LIMIT + ANSWER_SLACK)
+  if (request->ended_at == 0 && gs_now (self) - request->sent_at > REQUEST_TIMEOUT + ANSWER_SLACK
+      && gs_now (self) - request->gateway->faulted_at > REQUEST_TIMEOUT + ANSWER_SLACK)
     report (self, request, "each request ends within its limit");
   if (request->key > 0 && request->key < self->version && request->runs > 0
-      && request->ran_at > withdrawn_at (self, request) + KEY_LIMIT)
+      && request->ran_at > withdrawn_at (self, request) + KEY_TIMEOUT)
     report (self, request, "a withdrawn key is out of use within its bound");
 }
 
@@ -233,8 +233,8 @@
   g_hash_table_iter_init (&iter, self->requests);
   while (g_hash_table_iter_next (&iter, NULL, &request))
     check_request (self, request);
-  for (guint i = 0; i < DESKS; i++)
-    gs_check_limit (self, &self->desks[i]);
+  for (guint i = 0; i < ENDPOINTS; i++)
+    gs_check_limit (self, &self->endpoints[i]);
 }
 
 /* Checks that the key of the newest configuration works everywhere once the store serves again. */
@@ -244,12 +244,12 @@
   Request *requests[GATEWAYS];
 
   row_store_set_mode (self->store, ROW_STORE_SERVES);
-  self->written_at = MIN (self->written_at, gs_now (self));
-  gs_write_again (self);
-  hn_pass (self->harness, SETTLED);
+  self->rewrite_at = MIN (self->rewrite_at, gs_now (self));
+  gs_rewrite_lost_rows (self);
+  hn_run_for (self->harness, SETTLE_TIME);
   for (guint i = 0; i < GATEWAYS; i++)
     requests[i] = send_to (self, &self->gateways[i], self->version);
-  hn_pass (self->harness, LIMIT + ANSWER_SLACK);
+  hn_run_for (self->harness, REQUEST_TIMEOUT + ANSWER_SLACK);
   for (guint i = 0; i < GATEWAYS; i++)
     {
       if (requests[i]->status == 401 || requests[i]->status == 0)
@@ -281,8 +281,8 @@
   row_store_set_era (self->store, 0);
   self->versions = g_array_new (FALSE, FALSE, sizeof (guint64));
   gs_put_config (self);
-  for (guint i = 0; i < DESKS; i++)
-    gs_start_desk (self, i);
+  for (guint i = 0; i < ENDPOINTS; i++)
+    gs_start_endpoint (self, i);
   for (guint i = 0; i < GATEWAYS; i++)
     {
       Gateway *gateway = &self->gateways[i];
@@ -310,15 +310,15 @@
       g_free (self->gateways[i].settings);
     }
   ht_client_free (self->client);
-  for (guint i = 0; i < DESKS; i++)
+  for (guint i = 0; i < ENDPOINTS; i++)
     {
-      ht_server_free (self->desks[i].server);
-      g_array_unref (self->desks[i].arrivals);
+      ht_server_free (self->endpoints[i].server);
+      g_array_unref (self->endpoints[i].arrivals);
     }
   row_store_free (self->store);
   g_array_unref (self->versions);
   g_free (self->config);
-  for (guint i = 0; i < DESKS; i++)
+  for (guint i = 0; i < ENDPOINTS; i++)
     g_free (self->entries[i]);
   CU_ASSERT_TRUE (hn_harness_free (self->harness));
   g_hash_table_unref (self->requests);
@@ -340,35 +340,35 @@
   end = gs_now (&soak) + length;
   limited = gs_now (&soak) + length / 3;
   leaves = gs_now (&soak) + length / 2;
-  next_fault = gs_now (&soak) + FAULT_EVERY;
+  next_fault = gs_now (&soak) + FAULT_INTERVAL;
   while (gs_now (&soak) < end)
     {
-      for (guint i = 0; i < AT_ONCE; i++)
+      for (guint i = 0; i < REQUESTS_PER_STEP; i++)
         send_request (&soak);
-      hn_pass (soak.harness, STEP);
+      hn_run_for (soak.harness, STEP);
       version = row_store_version (soak.store);
       g_array_append_val (soak.versions, version);
-      gs_write_again (&soak);
-      if (gs_now (&soak) > limited && soak.desks[DESKS - 1].rate == 0)
-        gs_name_limit (&soak);
-      soak.desks[LEAVER].is_leaving = gs_now (&soak) > leaves;
+      gs_rewrite_lost_rows (&soak);
+      if (gs_now (&soak) > limited && soak.endpoints[ENDPOINTS - 1].rate == 0)
+        gs_advertise_limit (&soak);
+      soak.endpoints[LEAVING_ENDPOINT].is_leaving = gs_now (&soak) > leaves;
       if (gs_now (&soak) < next_fault)
         continue;
       gs_inject (&soak);
-      next_fault = gs_now (&soak) + FAULT_EVERY;
+      next_fault = gs_now (&soak) + FAULT_INTERVAL;
     }
   for (guint i = 0; i < GATEWAYS; i++)
     hn_signal (soak.gateways[i].process, SIGCONT);
-  hn_pass (soak.harness, LIMIT + ANSWER_SLACK);
+  hn_run_for (soak.harness, REQUEST_TIMEOUT + ANSWER_SLACK);
   check_all (&soak);
   check_settled (&soak);
   printf (
       "seed %u: %u requests, %u answered, %u counted against a limit of %u, %u rests, %u broken\n",
-      seed, soak.next, soak.answered, soak.desks[DESKS - 1].arrivals->len,
-      soak.desks[DESKS - 1].rate, soak.rests, soak.broken);
-  if (soak.broken > 0)
+      seed, soak.next, soak.answered, soak.endpoints[ENDPOINTS - 1].arrivals->len,
+      soak.endpoints[ENDPOINTS - 1].rate, soak.backoffs, soak.violations);
+  if (soak.violations > 0)
     print_logs (&soak);
-  CU_ASSERT_EQUAL (soak.broken, 0);
+  CU_ASSERT_EQUAL (soak.violations, 0);
   CU_ASSERT (soak.answered > 0);
   soak_close (&soak);
 }
--- a/tests/soak/gateway_soak_endpoints.c
+++ b/tests/soak/gateway_soak_endpoints.c
@@ -8,22 +8,22 @@
 
 /* Range of the rate limit, in requests a second, that the last endpoint advertises from a third of
  * the run on, and the span in which its arrivals are checked against it (see gs_check_limit()). A
- * gateway's requests count LIMIT_KNOWN after it received the limit, and LIMIT_GRACE after the last
- * signal to its process and after the limit was set. */
-#define RATE_LEAST  2
-#define RATE_MOST   7
-#define LIMIT_SPAN  (4 * KNL_SEC)
-#define LIMIT_KNOWN (500 * KNL_MSEC)
-#define LIMIT_GRACE (3 * KNL_SEC)
+ * gateway's requests count LIMIT_EFFECT_DELAY after it received the limit, and LIMIT_GRACE after
+ * the last signal to its process and after the limit was set. */
+#define MIN_RATE           2
+#define MAX_RATE           7
+#define LIMIT_SPAN         (4 * KNL_SEC)
+#define LIMIT_EFFECT_DELAY (500 * KNL_MSEC)
+#define LIMIT_GRACE        (3 * KNL_SEC)
 
 /* Fraction of the refusals that carry Retry-After, its value, the time after which a gateway must
  * honour it, and the number of requests that a gateway without a signal since may still send until
  * it expires. */
-#define REST_PART    0.1
-#define REST_SECONDS 2
-#define REST         (REST_SECONDS * KNL_SEC)
-#define REST_KNOWN   (500 * KNL_MSEC)
-#define REST_MOST    2
+#define BACKOFF_FRACTION     0.1
+#define BACKOFF_SECONDS      2
+#define BACKOFF              (BACKOFF_SECONDS * KNL_SEC)
+#define BACKOFF_EFFECT_DELAY (500 * KNL_MSEC)
+#define MAX_IN_BACKOFF       2
 
 /* No request that a caller sends later than this after a gateway received the leaving signal may
  * reach the endpoint through that gateway. */
@@ -32,7 +32,7 @@
 typedef struct
 {
   HtCall *call;
-  Desk *desk;
+  Endpoint *endpoint;
   Gateway *gateway;
   char *id;
   KnlTimerId timer;
@@ -41,95 +41,97 @@
 static void
 work_free (Work *self)
 {
-  knl_timer_stop (self->desk->soak->harness->kernel, &self->timer);
+  knl_timer_stop (self->endpoint->soak->harness->kernel, &self->timer);
   g_free (self->id);
   g_free (self);
 }
 
-static Heard *
-heard_by (Desk *self, const Gateway *gateway)
+static EndpointSignals *
+signals_to (Endpoint *self, const Gateway *gateway)
 {
-  return &self->heard[gateway - self->soak->gateways];
+  return &self->signals[gateway - self->soak->gateways];
 }
 
 /* The header fields that advertise this endpoint's state to the gateway; records when they were
  * first sent. */
 static char *
-say_words (Desk *self, Gateway *gateway)
+signal_fields (Endpoint *self, Gateway *gateway)
 {
-  Heard *heard = heard_by (self, gateway);
+  EndpointSignals *signals = signals_to (self, gateway);
 
   if (self->is_leaving)
     {
-      if (heard->leaving_at <= gateway->faulted_at)
-        heard->leaving_at = gs_now (self->soak);
+      if (signals->leaving_at <= gateway->faulted_at)
+        signals->leaving_at = gs_now (self->soak);
       return g_strdup ("Server-Leaving: 1\r\n");
     }
   if (self->rate == 0)
     return g_strdup ("");
-  if (gateway->told_at == 0)
-    gateway->told_at = gs_now (self->soak);
+  if (gateway->limit_advertised_at == 0)
+    gateway->limit_advertised_at = gs_now (self->soak);
   return g_strdup_printf ("Server-Limit: %u\r\n", self->rate);
 }
 
 /* Checks that a gateway honours the leaving signal and Retry-After. Those that it received before
  * the last signal to its process don't count, as it may have lost them. */
 static void
-check_words (Desk *self, const Request *request)
+check_signals (Endpoint *self, const Request *request)
 {
   const Gateway *gateway = request->gateway;
-  Heard *heard = heard_by (self, gateway);
+  EndpointSignals *signals = signals_to (self, gateway);
   KnlTime now = gs_now (self->soak);
 
-  if (heard->leaving_at > gateway->faulted_at
-      && request->sent_at > heard->leaving_at + LEAVING_BOUND)
+  if (signals->leaving_at > gateway->faulted_at
+      && request->sent_at > signals->leaving_at + LEAVING_BOUND)
     {
-      self->soak->broken++;
+      self->soak->violations++;
       fprintf (stderr, "broken: request %s reached an endpoint that had advertised leaving\n",
                request->id);
     }
-  if (heard->rest_at <= gateway->faulted_at || now < heard->rest_at + REST_KNOWN
-      || now >= heard->rest_at + REST)
+  if (signals->backoff_at <= gateway->faulted_at || now < signals->backoff_at + BACKOFF_EFFECT_DELAY
+      || now >= signals->backoff_at + BACKOFF)
     return;
-  if (++heard->n_in_rest <= REST_MOST)
+  if (++signals->n_in_backoff <= MAX_IN_BACKOFF)
     return;
-  self->soak->broken++;
+  self->soak->violations++;
   fprintf (stderr, "broken: request %s is number %u to an endpoint during its Retry-After\n",
-           request->id, heard->n_in_rest);
+           request->id, signals->n_in_backoff);
 }
 
 /* Not the first endpoint: the proxy in front of it may delay requests that were sent before its
  * Retry-After. */
 static gboolean
-asks_for_rest (const Desk *self)
+asks_for_backoff (const Endpoint *self)
 {
-  return self != &self->soak->desks[0] && g_rand_double (self->soak->rand) < REST_PART;
+  return self != &self->soak->endpoints[0] && g_rand_double (self->soak->rand) < BACKOFF_FRACTION;
 }
 
 static void
-turn_away (Desk *self, Gateway *gateway, HtCall *call, const char *id)
+refuse_request (Endpoint *self, Gateway *gateway, HtCall *call, const char *id)
 {
-  g_autofree char *words = say_words (self, gateway);
-  gboolean rests = asks_for_rest (self);
+  g_autofree char *advertised_fields = signal_fields (self, gateway);
+  gboolean backoffs = asks_for_backoff (self);
   g_autofree char *fields =
-      g_strdup_printf ("X-Attempt-Id: %s\r\nX-Not-Run: 1\r\n%s%s", id, words,
-                       rests ? "Retry-After: " G_STRINGIFY (REST_SECONDS) "\r\n" : "");
+      g_strdup_printf ("X-Attempt-Id: %s\r\nX-Not-Run: 1\r\n%s%s", id, advertised_fields,
+                       backoffs ? "Retry-After: " G_STRINGIFY (BACKOFF_SECONDS) "\r\n" : "");
 
-  if (rests)
+  if (backoffs)
     {
-      *heard_by (self, gateway) = (Heard){ .rest_at = gs_now (self->soak),
-                                           .leaving_at = heard_by (self, gateway)->leaving_at };
-      self->soak->rests++;
+      *signals_to (self, gateway) =
+          (EndpointSignals){ .backoff_at = gs_now (self->soak),
+                             .leaving_at = signals_to (self, gateway)->leaving_at };
+      self->soak->backoffs++;
     }
   ht_call_answer (call, 503, fields, NULL, 0);
 }
 
 static void
-count_arrival (Desk *self, const Gateway *gateway)
+count_arrival (Endpoint *self, const Gateway *gateway)
 {
   KnlTime now = gs_now (self->soak);
 
-  if (self->rate > 0 && gateway->told_at > 0 && now - gateway->told_at > LIMIT_KNOWN
+  if (self->rate > 0 && gateway->limit_advertised_at > 0
+      && now - gateway->limit_advertised_at > LIMIT_EFFECT_DELAY
       && now - gateway->faulted_at > LIMIT_GRACE && now - self->limited_at > LIMIT_GRACE)
     g_array_append_val (self->arrivals, now);
 }
@@ -139,17 +141,17 @@
 {
   Work *self = data;
   HtCall *call = self->call;
-  Soak *soak = self->desk->soak;
-  g_autofree char *words = say_words (self->desk, self->gateway);
+  Soak *soak = self->endpoint->soak;
+  g_autofree char *advertised_fields = signal_fields (self->endpoint, self->gateway);
   g_autofree char *fields =
-      g_strdup_printf ("X-Attempt-Id: %s\r\nX-Server-Stamp: s\r\n%s", self->id, words);
-  double way = g_rand_double (soak->rand);
+      g_strdup_printf ("X-Attempt-Id: %s\r\nX-Server-Stamp: s\r\n%s", self->id, advertised_fields);
+  double draw = g_rand_double (soak->rand);
 
   self->timer = 0;
   ht_call_set_data (call, NULL);
-  if (way < 0.05)
+  if (draw < 0.05)
     ht_call_abort (call);
-  else if (way < 0.10)
+  else if (draw < 0.10)
     ht_call_answer (call, 500, fields, "failed", 6);
   else
     ht_call_answer (call, 200, fields, self->id, strlen (self->id));
@@ -157,33 +159,33 @@
 }
 
 static void
-on_desk_request (HtCall *call, gpointer data)
+on_endpoint_request (HtCall *call, gpointer data)
 {
-  Desk *desk = data;
-  Soak *self = desk->soak;
+  Endpoint *endpoint = data;
+  Soak *self = endpoint->soak;
   const char *id = ht_message_get (ht_call_request (call), "x-attempt-id");
   Request *request = id != NULL ? g_hash_table_lookup (self->requests, id) : NULL;
   Work *work;
 
   if (request == NULL)
     {
-      self->broken++;
+      self->violations++;
       fprintf (stderr, "broken: a request that no caller sent reached an endpoint\n");
       ht_call_abort (call);
       return;
     }
-  count_arrival (desk, request->gateway);
-  check_words (desk, request);
+  count_arrival (endpoint, request->gateway);
+  check_signals (endpoint, request);
   if (g_rand_double (self->rand) < 0.05)
     {
-      turn_away (desk, request->gateway, call, id);
+      refuse_request (endpoint, request->gateway, call, id);
       return;
     }
   request->runs++;
   request->ran_at = gs_now (self);
   work = g_new0 (Work, 1);
   work->call = call;
-  work->desk = desk;
+  work->endpoint = endpoint;
   work->gateway = request->gateway;
   work->id = g_strdup (id);
   ht_call_set_data (call, work);
@@ -192,17 +194,17 @@
 }
 
 static void
-on_desk_gone (HtCall *call, gpointer data)
+on_disconnected (HtCall *call, gpointer data)
 {
   if (ht_call_data (call) != NULL)
     work_free (ht_call_data (call));
 }
 
-static const HtServerEvents desk_events = { .request = on_desk_request,
-                                            .disconnected = on_desk_gone };
+static const HtServerEvents endpoint_events = { .request = on_endpoint_request,
+                                                .disconnected = on_disconnected };
 
 void
-gs_start_desk (Soak *self, guint i)
+gs_start_endpoint (Soak *self, guint i)
 {
   static const HtServerLimits limits = {
     .message = { 16384, 1 << 20 },
@@ -217,9 +219,10 @@
   g_autofree char *id = g_strdup_printf ("i-%u", i);
   g_autofree char *entry = NULL;
 
-  self->desks[i] = (Desk){ .soak = self, .arrivals = g_array_new (FALSE, FALSE, sizeof (KnlTime)) };
-  self->desks[i].server = ht_server_new (self->harness->kernel, self->harness->base, own, &limits,
-                                         &desk_events, &self->desks[i]);
+  self->endpoints[i] =
+      (Endpoint){ .soak = self, .arrivals = g_array_new (FALSE, FALSE, sizeof (KnlTime)) };
+  self->endpoints[i].server = ht_server_new (self->harness->kernel, self->harness->base, own,
+                                             &limits, &endpoint_events, &self->endpoints[i]);
   if (i == 0)
     {
       const char *arguments[] = { "--listen-address",
@@ -246,33 +249,33 @@
 /* Checks the span that begins with each arrival: it may contain one and a half times the advertised
  * rate, and five requests more. */
 void
-gs_check_limit (Soak *self, const Desk *desk)
+gs_check_limit (Soak *self, const Endpoint *endpoint)
 {
-  guint most = (guint)(1.5 * desk->rate * LIMIT_SPAN / KNL_SEC) + 5;
+  guint most = (guint)(1.5 * endpoint->rate * LIMIT_SPAN / KNL_SEC) + 5;
   guint end = 0;
 
-  for (guint i = 0; i < desk->arrivals->len; i++)
+  for (guint i = 0; i < endpoint->arrivals->len; i++)
     {
-      KnlTime from = g_array_index (desk->arrivals, KnlTime, i);
+      KnlTime from = g_array_index (endpoint->arrivals, KnlTime, i);
 
-      while (end < desk->arrivals->len
-             && g_array_index (desk->arrivals, KnlTime, end) - from < LIMIT_SPAN)
+      while (end < endpoint->arrivals->len
+             && g_array_index (endpoint->arrivals, KnlTime, end) - from < LIMIT_SPAN)
         end++;
       if (end - i <= most)
         continue;
-      self->broken++;
+      self->violations++;
       fprintf (stderr,
                "broken: an endpoint with a limit of %u a second received %u requests, allowed %u\n",
-               desk->rate, end - i, most);
+               endpoint->rate, end - i, most);
       return;
     }
 }
 
 void
-gs_name_limit (Soak *self)
+gs_advertise_limit (Soak *self)
 {
-  Desk *desk = &self->desks[DESKS - 1];
+  Endpoint *endpoint = &self->endpoints[ENDPOINTS - 1];
 
-  desk->rate = (guint)g_rand_int_range (self->rand, RATE_LEAST, RATE_MOST);
-  desk->limited_at = gs_now (self);
+  endpoint->rate = (guint)g_rand_int_range (self->rand, MIN_RATE, MAX_RATE);
+  endpoint->limited_at = gs_now (self);
 }
--- a/tests/soak/gateway_soak_faults.c
+++ b/tests/soak/gateway_soak_faults.c
@@ -6,8 +6,8 @@
 
 /* Greatest age, in steps of the run, of the copy from which the store is restored, and the longest
  * delay until the lost rows are written again. */
-#define COPY_STEPS        150
-#define WRITTEN_WITHIN_MS 1000
+#define MAX_COPY_AGE_STEPS   150
+#define MAX_REWRITE_DELAY_MS 1000
 
 static void
 fault_pause (Soak *self, Gateway *gateway)
@@ -27,8 +27,8 @@
 {
   hn_signal (gateway->process, SIGCONT);
   hn_signal (gateway->process, SIGTERM);
-  if (hn_await_exit (gateway->process, HN_LIMIT) != 0)
-    self->broken++;
+  if (hn_await_exit (gateway->process, HN_TIMEOUT) != 0)
+    self->violations++;
   gs_start_gateway (self, (guint)(gateway - self->gateways));
 }
 
@@ -55,21 +55,22 @@
 static void
 fault_copy (Soak *self, Gateway *gateway)
 {
-  guint steps = (guint)g_rand_int_range (self->rand, 1, COPY_STEPS);
+  guint steps = (guint)g_rand_int_range (self->rand, 1, MAX_COPY_AGE_STEPS);
   guint64 version = g_array_index (self->versions, guint64,
                                    self->versions->len - MIN (steps, self->versions->len));
 
   row_store_restore (self->store, version);
-  self->written_at = gs_now (self) + g_rand_int_range (self->rand, 0, WRITTEN_WITHIN_MS) * KNL_MSEC;
+  self->rewrite_at =
+      gs_now (self) + g_rand_int_range (self->rand, 0, MAX_REWRITE_DELAY_MS) * KNL_MSEC;
 }
 
 void
-gs_write_again (Soak *self)
+gs_rewrite_lost_rows (Soak *self)
 {
-  if (self->written_at == 0 || gs_now (self) < self->written_at)
+  if (self->rewrite_at == 0 || gs_now (self) < self->rewrite_at)
     return;
-  self->written_at = 0;
-  for (guint i = 0; i < DESKS; i++)
+  self->rewrite_at = 0;
+  for (guint i = 0; i < ENDPOINTS; i++)
     {
       g_autofree char *id = g_strdup_printf ("i-%u", i);
 
@@ -103,7 +104,7 @@
     .body = faults[g_rand_int_range (self->rand, 0, G_N_ELEMENTS (faults))],
   };
 
-  hn_ask (self->harness, &request, NULL);
+  hn_request (self->harness, &request, NULL);
 }
 
 /* In the list of faults, the first CALM_FAULTS affect neither the processes nor the store's
--- a/tests/soak/gateway_soak_internal.h
+++ b/tests/soak/gateway_soak_internal.h
@@ -1,4 +1,4 @@
-#pragma once
+#pragma is_at_most_once
 
 /** Declarations shared by the sources of the gateway soak. */
 
@@ -7,8 +7,8 @@
 #include "tests/fakes/row_store.h"
 #include "tests/faults/harness.h"
 
-#define GATEWAYS 3
-#define DESKS    3
+#define GATEWAYS  3
+#define ENDPOINTS 3
 
 typedef struct Soak Soak;
 
@@ -20,17 +20,18 @@
   const char *link;
   char *settings;
   HnProcess *process;
-  KnlTime faulted_at; /* last signal to the process */
-  KnlTime told_at;    /* when an answer first advertised the limit to this process; 0: not yet */
+  KnlTime faulted_at;          /* last signal to the process */
+  KnlTime limit_advertised_at; /* when an answer first advertised the limit to this process; 0: not
+                                  yet */
 } Gateway;
 
 /** The signals that an endpoint has sent to a gateway. */
 typedef struct
 {
   KnlTime leaving_at; /* when it advertised that it is leaving; 0: not yet */
-  KnlTime rest_at;    /* when it last sent Retry-After; 0: not yet */
-  guint n_in_rest;    /* requests that arrived before that Retry-After expired */
-} Heard;
+  KnlTime backoff_at; /* when it last sent Retry-After; 0: not yet */
+  guint n_in_backoff; /* requests that arrived before that Retry-After expired */
+} EndpointSignals;
 
 /** An endpoint. */
 typedef struct
@@ -41,8 +42,8 @@
   KnlTime limited_at; /* when the limit was set */
   GArray *arrivals;   /* KnlTime, of requests that count against the limit */
   gboolean is_leaving;
-  Heard heard[GATEWAYS];
-} Desk;
+  EndpointSignals signals[GATEWAYS];
+} Endpoint;
 
 /** The outcome of one request, as its caller and the endpoints saw it. */
 typedef struct
@@ -50,8 +51,8 @@
   Soak *soak;
   Gateway *gateway;
   char *id;
-  gboolean once; /* not idempotent */
-  guint key;     /* version whose key it carries; 0: the permanent key */
+  gboolean is_at_most_once; /* not idempotent */
+  guint key;                /* version whose key it carries; 0: the permanent key */
   KnlTime sent_at;
   KnlTime ended_at; /* 0: not yet */
   guint status;     /* 0: no answer */
@@ -66,21 +67,21 @@
   GRand *rand;
   HtClient *client;
   RowStore *store;
-  Desk desks[DESKS];
+  Endpoint endpoints[ENDPOINTS];
   const char *proxy; /* control address of the proxy in front of endpoint 0 */
   Gateway gateways[GATEWAYS];
-  GHashTable *requests; /* id -> Request */
-  GArray *withdrawn_at; /* KnlTime, by version: when its key was withdrawn */
-  char *config;         /* the newest configuration that the operator wrote */
-  char *entries[DESKS]; /* rows of the endpoints in the store */
-  GArray *versions;     /* guint64, version of the store at each step */
-  KnlTime written_at;   /* when lost rows are to be written again; 0: none are lost */
-  gboolean is_calm;     /* no faults of processes or of the store's service */
+  GHashTable *requests;     /* id -> Request */
+  GArray *withdrawn_at;     /* KnlTime, by version: when its key was withdrawn */
+  char *config;             /* the newest configuration that the operator wrote */
+  char *entries[ENDPOINTS]; /* rows of the endpoints in the store */
+  GArray *versions;         /* guint64, version of the store at each step */
+  KnlTime rewrite_at;       /* when lost rows are to be written again; 0: none are lost */
+  gboolean is_calm;         /* no faults of processes or of the store's service */
   guint version;
   guint next;
   guint answered;
-  guint rests;  /* answers with Retry-After */
-  guint broken; /* violations of the guarantees */
+  guint backoffs;   /* answers with Retry-After */
+  guint violations; /* violations of the guarantees */
 };
 
 static inline KnlTime
@@ -99,13 +100,13 @@
 
 /* gateway_soak_endpoints.c */
 
-void gs_start_desk (Soak *self, guint desk);
+void gs_start_endpoint (Soak *self, guint endpoint);
 
 /** Makes the last endpoint advertise a rate limit from now on. */
-void gs_name_limit (Soak *self);
+void gs_advertise_limit (Soak *self);
 
 /** Checks the arrivals at an endpoint against the rate limit that it advertises. */
-void gs_check_limit (Soak *self, const Desk *desk);
+void gs_check_limit (Soak *self, const Endpoint *endpoint);
 
 /* gateway_soak_faults.c */
 
@@ -114,4 +115,4 @@
 
 /** Writes the rows of the operator and the endpoints again that a restoration of the store lost, if
  * it is time. */
-void gs_write_again (Soak *self);
+void gs_rewrite_lost_rows (Soak *self);
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -62,7 +62,7 @@
 }
 
 static void
-leave_some (Soak *soak)
+disconnect_some (Soak *soak)
 {
   FkCaller *caller;
 
@@ -233,7 +233,7 @@
     {
       if (g_rand_int_range (soak->rand, 0, 4) == 0)
         submit (soak);
-      leave_some (soak);
+      disconnect_some (soak);
       operate (soak);
       if (knl_paused_clock_now (soak->clock) >= next_fault)
         {
--- a/tests/soak/soak_faults.c
+++ b/tests/soak/soak_faults.c
@@ -11,7 +11,7 @@
 {
   const char *name;
   FaultFunc func;
-  gboolean once; /* it needs no end, as its effect passes by itself */
+  gboolean is_transient; /* it needs no end, as its effect passes by itself */
 } Fault;
 
 typedef struct
@@ -47,7 +47,7 @@
 }
 
 static void
-set_up (Soak *soak, guint target, FkDaemonKind kind, gboolean up)
+set_running (Soak *soak, guint target, FkDaemonKind kind, gboolean up)
 {
   if (up)
     fk_deployment_start (soak->deployment, target, kind);
@@ -59,13 +59,13 @@
 kill_entry (Soak *soak, guint target, gboolean begins)
 {
   soak->incarnations[target] += begins ? 1 : 0;
-  set_up (soak, target, FK_ENTRY, !begins);
+  set_running (soak, target, FK_ENTRY, !begins);
 }
 
 static void
 kill_controller (Soak *soak, guint target, gboolean begins)
 {
-  set_up (soak, target, FK_CONTROLLER, !begins);
+  set_running (soak, target, FK_CONTROLLER, !begins);
 }
 
 static void
@@ -112,11 +112,11 @@
 }
 
 static void
-deaf_platform (Soak *soak, guint target, gboolean begins)
+lose_platform_answers (Soak *soak, guint target, gboolean begins)
 {
   if (fk_deployment_is_up (soak->deployment, target, FK_CONTROLLER))
     fk_memory_platform_set_fault (fk_deployment_platform (soak->deployment, target),
-                                  begins ? FK_PLATFORM_DEAF : FK_PLATFORM_NORMAL);
+                                  begins ? FK_PLATFORM_LOSES_ANSWERS : FK_PLATFORM_NORMAL);
 }
 
 static void
@@ -193,7 +193,7 @@
   { "platform outage", platform_outage, FALSE },
   { "platform slow", platform_slow, FALSE },
   { "platform loses answers", platform_loses, FALSE },
-  { "controller deaf to platform", deaf_platform, FALSE },
+  { "controller deaf to platform", lose_platform_answers, FALSE },
   { "crash engine", crash_engine, FALSE },
   { "freeze engine", freeze_engine, FALSE },
   { "connection fault", connection_fault, TRUE },
@@ -211,7 +211,7 @@
 
       /* At most one fault of each kind and at each target, so that ending one doesn't undo
        * another. */
-      if (other->fault == fault || (other->target == target && !other->fault->once))
+      if (other->fault == fault || (other->target == target && !other->fault->is_transient))
         return TRUE;
     }
   return FALSE;
@@ -251,7 +251,7 @@
 
       if (!all && entry.until > knl_paused_clock_now (soak->clock))
         continue;
-      if (!entry.fault->once)
+      if (!entry.fault->is_transient)
         entry.fault->func (soak, entry.target, FALSE);
       g_array_remove_index (active, i);
     }
--- a/tests/unit/co_config_store_test.c
+++ b/tests/unit/co_config_store_test.c
@@ -308,7 +308,7 @@
                                          SD_TABLE_SLOW, SD_TABLE_OUTAGE };
   static const FkPlatformFault platform_faults[] = { FK_PLATFORM_NORMAL, FK_PLATFORM_NORMAL,
                                                      FK_PLATFORM_UNREACHABLE, FK_PLATFORM_SILENT,
-                                                     FK_PLATFORM_DEAF };
+                                                     FK_PLATFORM_LOSES_ANSWERS };
   guint i = (guint)g_rand_int_range (rand, 0, STORES);
 
   sd_table_set_fault (fk_store_table (fixture->daemons.store),
--- a/tests/unit/co_idem_test.c
+++ b/tests/unit/co_idem_test.c
@@ -282,7 +282,7 @@
   CU_ASSERT_EQUAL (result.verdict, VERDICT (RUN));
   /* The time limit passes with the write's effect unknown: refused, then recorded as not run. */
   holder = holder_of (fixture, "l");
-  fk_memory_platform_set_fault (fixture->daemons.platforms[holder], FK_PLATFORM_DEAF);
+  fk_memory_platform_set_fault (fixture->daemons.platforms[holder], FK_PLATFORM_LOSES_ANSWERS);
   begin_at (fixture, holder, "l", "a", 1, &result);
   run (fixture, 2100 * KNL_MSEC);
   CU_ASSERT_EQUAL (result.verdict, VERDICT (REFUSED));
--- a/tests/unit/co_lease_test.c
+++ b/tests/unit/co_lease_test.c
@@ -254,7 +254,7 @@
 {
   static const FkPlatformFault faults[] = { FK_PLATFORM_NORMAL, FK_PLATFORM_NORMAL,
                                             FK_PLATFORM_UNREACHABLE, FK_PLATFORM_SILENT,
-                                            FK_PLATFORM_DEAF };
+                                            FK_PLATFORM_LOSES_ANSWERS };
   static const SdTableFault table_faults[] = { SD_TABLE_NORMAL, SD_TABLE_NORMAL,
                                                SD_TABLE_LOSE_ANSWERS, SD_TABLE_SLOW,
                                                SD_TABLE_OUTAGE };
--- a/tests/unit/sv_core_test.c
+++ b/tests/unit/sv_core_test.c
@@ -330,7 +330,7 @@
   sv_fixture_send (&fixture, "POST /once/2 HTTP/1.1\r\nHost:");
   sv_fixture_wait_requests (&fixture, 0, 1);
   g_clear_pointer (&fixture.caller, bufferevent_free);
-  while (scripted_endpoint_n_ended (fixture.endpoints[0]) == 0)
+  while (scripted_endpoint_n_closed_by_peer (fixture.endpoints[0]) == 0)
     event_base_loop (fixture.base, EVLOOP_ONCE);
   CU_ASSERT_EQUAL (sv_core_n_requests (fixture.core), 0);
   sv_fixture_close (&fixture);
--- a/tests/unit/sv_ends_test.c
+++ b/tests/unit/sv_ends_test.c
@@ -41,8 +41,8 @@
       knl_paused_clock_advance (fixture.clock, 100 * KNL_MSEC);
       event_base_loop (fixture.base, EVLOOP_NONBLOCK);
     }
-  CU_ASSERT_EQUAL (scripted_endpoint_n_ended (fixture.endpoints[0])
-                       + scripted_endpoint_n_ended (fixture.endpoints[1]),
+  CU_ASSERT_EQUAL (scripted_endpoint_n_closed_by_peer (fixture.endpoints[0])
+                       + scripted_endpoint_n_closed_by_peer (fixture.endpoints[1]),
                    0);
   CU_ASSERT_EQUAL (fixture.received->len, 0);
   sv_fixture_close (&fixture);
--- a/tests/unit/sv_load_test.c
+++ b/tests/unit/sv_load_test.c
@@ -165,7 +165,7 @@
       sum.earned += result.earned / 4;
       for (guint i = 0; i < BENCH_KINDS; i++)
         {
-          sum.kinds[i].asked += result.kinds[i].asked;
+          sum.kinds[i].submitted += result.kinds[i].submitted;
           sum.kinds[i].in_time += result.kinds[i].in_time;
         }
       bench_policy_result_clear (&result);
@@ -176,7 +176,7 @@
 static double
 in_time (const BenchPolicyResult *result, guint kind)
 {
-  return (double)result->kinds[kind].in_time / result->kinds[kind].asked;
+  return (double)result->kinds[kind].in_time / result->kinds[kind].submitted;
 }
 
 /*
--- a/tests/unit/sv_move_test.c
+++ b/tests/unit/sv_move_test.c
@@ -118,7 +118,8 @@
   if ((sv_fixture_all_requests (&fixture) == 2) != row->migrates)
     printf ("\n  %s: %u requests", row->name, sv_fixture_all_requests (&fixture));
   CU_ASSERT_EQUAL (sv_fixture_all_requests (&fixture), row->migrates ? 2 : 1);
-  CU_ASSERT_EQUAL (scripted_endpoint_n_ended (fixture.endpoints[runner]), row->migrates ? 1 : 0);
+  CU_ASSERT_EQUAL (scripted_endpoint_n_closed_by_peer (fixture.endpoints[runner]),
+                   row->migrates ? 1 : 0);
   if (row->migrates)
     CU_ASSERT_STRING_EQUAL (
         scripted_endpoint_field (fixture.endpoints[1 - runner], "last-event-id"), "2");
