--- a/tests/soak/gateway_soak_internal.h
+++ b/tests/soak/gateway_soak_internal.h
@@ -1,4 +1,4 @@
-#pragma is_at_most_once
+#pragma once
 
 /** Declarations shared by the sources of the gateway soak. */
 
