--- a/endpoint/http.c
+++ b/endpoint/http.c
@@ -15,8 +15,8 @@
 #define ORDER_ANSWER_TIMEOUT  (5 * KNL_SEC)
 
 /*
- * A report shows whether an engine is alive. An entry asks for one only after a stream has been
- * silent for its timeout, so this timeout is short.
+ * A report shows whether an engine is alive. An entry requests one only after a stream has
+ * been silent for its timeout, so this timeout is short.
  */
 #define REPORT_TIMEOUT (1 * KNL_SEC)
 
--- a/include/endpoint/endpoint.h
+++ b/include/endpoint/endpoint.h
@@ -16,7 +16,7 @@
 /** Handle of a call that isn't a stream; 0 means none. */
 typedef guint64 EpCallId;
 
-/** How a request failed, which tells whether the endpoint may have run it. */
+/** How a request failed; says whether the endpoint may have run it. */
 typedef enum
 {
   EP_NOT_SENT,  /**< no byte of the request can have reached the endpoint */
@@ -148,8 +148,8 @@
   gsize body_bytes;
   const char *idempotency_key; /**< sent as Idempotency-Key unless NULL */
   KnlTime connect_limit;
-  KnlTime answer_limit;
-  gsize answer_bound; /**< bytes; a longer answer is EP_MALFORMED */
+  KnlTime answer_limit; /**< timeout for the first byte of the answer, and between later bytes */
+  gsize answer_bound;   /**< bytes; a longer answer is EP_MALFORMED */
 } EpServiceCall;
 
 /** `failure` is NULL when the service answered, with any status. */
--- a/include/table/table.h
+++ b/include/table/table.h
@@ -65,7 +65,7 @@
 /** `version` is the new version of all rows written; 0 unless TB_OK. */
 typedef void (*TbTransactFunc) (TbStatus status, guint64 version, gpointer data);
 
-/** Rows sorted by key, freed after the callback; `more`: the limit cut off further rows. */
+/** Rows sorted by key, freed after the callback; `more`: there are further rows past the limit. */
 typedef void (
     *TbRowsFunc) (TbStatus status, const TbRow *rows, guint n_rows, gboolean more, gpointer data);
 
--- a/table/http.c
+++ b/table/http.c
@@ -160,8 +160,8 @@
 /*
  * evhttp passes a request with code 0 when it could not connect, and no request
  * when the connection failed later. Only the first is certainly without effect.
- * Treating the second like it would repeat writes, and would report records as
- * absent that have been begun.
+ * If the second were treated the same way, writes would be made twice, and
+ * records that have been begun would be reported as absent.
  */
 static void
 on_answer (struct evhttp_request *request, void *data)
--- a/tests/standins/engine_internal.h
+++ b/tests/standins/engine_internal.h
@@ -10,7 +10,7 @@
   REQUEST_PREFILL,
   REQUEST_DECODE,
   REQUEST_HELD,
-  REQUEST_ENDED, /* memory released; the answer can still be read until the hold limit */
+  REQUEST_ENDED, /* memory released; the answer can still be read until the hold timeout */
 } RequestState;
 
 typedef struct
--- a/tests/standins/engine_model.h
+++ b/tests/standins/engine_model.h
@@ -174,7 +174,7 @@
                            SdReaderFunc reader,
                            gpointer data);
 
-/** Detaches the reader; the request keeps running and is dropped after the hold limit. */
+/** Detaches the reader; the request keeps running and is dropped after the hold timeout. */
 void sd_engine_detach (SdEngine *engine, const char *request, gpointer data);
 
 /** Cancels the request and releases its resources; FALSE when there is no such request. */
--- a/tests/standins/engine_step.c
+++ b/tests/standins/engine_step.c
@@ -6,7 +6,7 @@
 /* Maximum number of tokens in one frame. */
 #define MAX_FRAME_TOKENS 256
 
-/* A step does at most this many steps' work: a process that was stopped did none meanwhile. */
+/* Maximum work in one step, in steps: a stopped process doesn't make up for the time it missed. */
 #define MAX_STEP_FACTOR 4
 
 guint64
--- a/tests/standins/http_server.c
+++ b/tests/standins/http_server.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Streams are silent while a long prompt is prefilled, and hung exchanges indefinitely. */
+/* Long because streams are silent during a long prefill, and hung exchanges until closed. */
 #define CONNECTION_TIMEOUT_S (24 * 3600)
 
 void
@@ -35,7 +35,7 @@
 
 /*
  * When a connection breaks before the answer, libevent detaches the request and
- * leaves it to us: without freeing it here, each client that disconnects leaks one.
+ * doesn't free it. Unless it is freed here, each client that disconnects leaks one.
  */
 static void
 on_connection_closed (struct evhttp_connection *connection, void *data)
--- a/tests/standins/standin_proxy.c
+++ b/tests/standins/standin_proxy.c
@@ -154,7 +154,7 @@
   knl_timer_start (program->server.kernel, program->delay, forward_delayed, piece);
 }
 
-/* `data` is the direction that reads from `to`; the bytes written to `to` are the other one's. */
+/* `data` is the direction that reads from `to`; the opposite direction has written to it. */
 static void
 on_written (struct bufferevent *to, void *data)
 {
@@ -177,7 +177,7 @@
     close_if_flushed (direction);
 }
 
-/* What the other end sends is not even read, as if its packets were lost; nor is its close. */
+/* Stops reading from the sender, so that its data and its close seem lost on the network. */
 static void
 direction_freeze (Direction *direction)
 {
@@ -261,7 +261,7 @@
   g_list_free (connections);
 }
 
-/* A frozen connection, or one with a cut pending, stays so: resets apply to new ones only. */
+/* Replaces the fault. Connections that are frozen or have a pending cut keep this state. */
 static gboolean
 set_fault (Program *program, const char *mode, const json_t *body)
 {
