--- a/include/table/http.h
+++ b/include/table/http.h
@@ -8,10 +8,10 @@
 
 /**
  * Creates a client of the platform at `address` ("IP:PORT"). A call without an
- * answer after `limit` fails: a read with TB_UNAVAILABLE, a transaction with
+ * answer after `timeout` fails: a read with TB_UNAVAILABLE, a transaction with
  * TB_UNKNOWN unless it certainly never reached the table.
  */
 TbTable *tb_http_platform_new (KnlKernel *kernel,
                                struct event_base *base,
                                const char *address,
-                               KnlTime limit);
+                               KnlTime timeout);
--- a/table/http.c
+++ b/table/http.c
@@ -31,7 +31,7 @@
   char *address;
   char *host;
   guint16 port;
-  KnlTime limit;
+  KnlTime timeout;
   TbCallId last_id;
   GHashTable *calls;   /* TbCallId -> Call */
   GPtrArray *finished; /* struct evhttp_connection to free later; evhttp uses it after callbacks */
@@ -256,7 +256,7 @@
   if (g_hash_table_size (http->calls) <= MAX_CALLS)
     begin_request (call, method, path, body);
   call->timer =
-      knl_timer_start (http->kernel, call->connection != NULL ? http->limit : 0, on_limit, call);
+      knl_timer_start (http->kernel, call->connection != NULL ? http->timeout : 0, on_limit, call);
   return call->id;
 }
 
@@ -363,7 +363,7 @@
 tb_http_platform_new (KnlKernel *kernel,
                       struct event_base *base,
                       const char *address,
-                      KnlTime limit)
+                      KnlTime timeout)
 {
   TbHttp *http = g_new0 (TbHttp, 1);
 
@@ -371,7 +371,7 @@
   http->kernel = kernel;
   http->events = base;
   http->address = g_strdup (address);
-  http->limit = limit;
+  http->timeout = timeout;
   http->calls = g_hash_table_new (g_int64_hash, g_int64_equal);
   http->finished = g_ptr_array_new ();
   cm_address_parse (address, &http->host, &http->port);
--- a/tests/standins/standin_load.c
+++ b/tests/standins/standin_load.c
@@ -227,7 +227,7 @@
 
 /* A request that certainly did not run is sent to another entry, as callers are told to do. */
 static gboolean
-retries (Call *call, const SdCompletionResult *result)
+retry_if_not_run (Call *call, const SdCompletionResult *result)
 {
   Program *program = call->program;
   gboolean not_run = result->unreachable || strcmp (result->code, "draining") == 0;
@@ -255,7 +255,7 @@
 static void
 on_completion (const SdCompletionResult *result, gpointer data)
 {
-  if (!retries (data, result))
+  if (!retry_if_not_run (data, result))
     finish_call (data, result);
 }
 
