--- a/tests/standins/prefix_cache_model.h
+++ b/tests/standins/prefix_cache_model.h
@@ -23,7 +23,7 @@
 /** Tokens of the longest cached prefix of `blocks`; marks these blocks as used. */
 guint64 sd_prefix_cache_match (SdPrefixCache *cache, const GArray *blocks);
 
-/** Adds as many of the first `blocks` as fit in `limit` tokens; evicts the least recently used. */
+/** Adds as many of the first `blocks` as fit in `limit`; evicts the least recently used. */
 void sd_prefix_cache_add (SdPrefixCache *cache, const GArray *blocks, guint64 limit);
 
 /** Evicts until at most `limit` tokens are cached. */
