--- a/endpoint/exchange.c
+++ b/endpoint/exchange.c
@@ -19,10 +19,10 @@
   guint16 port;
   enum evhttp_cmd_type method;
   char *path;
-  KnlTime connect_limit;
-  KnlTime first_limit;
-  KnlTime idle_limit;
-  gsize answer_bound;
+  KnlTime connect_timeout;
+  KnlTime first_byte_timeout;
+  KnlTime idle_timeout;
+  gsize max_answer_bytes;
   struct evhttp_connection *connection;
   struct evhttp_request *request; /* owned by `connection` after evhttp_make_request() */
   struct evkeyvalq *answer_headers;
@@ -116,7 +116,7 @@
   if (self->sent || info->n_added == 0)
     return;
   self->sent = TRUE;
-  restart_timeout (self, self->first_limit);
+  restart_timeout (self, self->first_byte_timeout);
 }
 
 static void
@@ -133,7 +133,7 @@
 
   if (self->closed)
     return;
-  restart_timeout (self, self->idle_limit);
+  restart_timeout (self, self->idle_timeout);
   read_status (self, request);
   self->events->on_data (self, evhttp_request_get_input_buffer (request), self->user);
 }
@@ -142,7 +142,7 @@
 on_done (struct evhttp_request *request, void *data)
 {
   EpExchange *self = data;
-  struct evbuffer *rest;
+  struct evbuffer *remaining;
 
   self->request = NULL;
   if (self->closed)
@@ -153,9 +153,9 @@
       return;
     }
   read_status (self, request);
-  rest = evhttp_request_get_input_buffer (request);
-  if (evbuffer_get_length (rest) > 0)
-    self->events->on_data (self, rest, self->user);
+  remaining = evhttp_request_get_input_buffer (request);
+  if (evbuffer_get_length (remaining) > 0)
+    self->events->on_data (self, remaining, self->user);
   finish (self, EP_EXCHANGE_COMPLETE, "complete");
   self->answer_headers = NULL;
 }
@@ -178,8 +178,8 @@
     }
   evhttp_connection_set_timeout (connection, EVHTTP_TIMEOUT_S);
   evhttp_connection_set_retries (connection, 0);
-  if (self->answer_bound > 0)
-    evhttp_connection_set_max_body_size (connection, (ev_ssize_t)self->answer_bound);
+  if (self->max_answer_bytes > 0)
+    evhttp_connection_set_max_body_size (connection, (ev_ssize_t)self->max_answer_bytes);
   return connection;
 }
 
@@ -196,7 +196,7 @@
       finish_incomplete (self, "address");
       return;
     }
-  restart_timeout (self, self->connect_limit);
+  restart_timeout (self, self->connect_timeout);
   if (evhttp_make_request (self->connection, request, self->method, self->path) != 0)
     {
       self->request = NULL;
@@ -248,10 +248,10 @@
   self->user = user;
   self->method = parse_method (start->method);
   self->path = g_strdup (start->path);
-  self->connect_limit = start->connect_limit;
-  self->first_limit = start->first_limit;
-  self->idle_limit = start->idle_limit;
-  self->answer_bound = start->answer_bound;
+  self->connect_timeout = start->connect_timeout;
+  self->first_byte_timeout = start->first_byte_timeout;
+  self->idle_timeout = start->idle_timeout;
+  self->max_answer_bytes = start->max_answer_bytes;
   cm_address_parse (start->address, &self->host, &self->port);
   self->request = evhttp_request_new (on_done, self);
   evhttp_request_set_chunked_cb (self->request, on_chunk);
--- a/endpoint/http.c
+++ b/endpoint/http.c
@@ -118,10 +118,10 @@
     .content_type = body != NULL ? "application/json" : NULL,
     .body = body,
     .body_bytes = body != NULL ? strlen (body) : 0,
-    .answer_bound = MAX_CALL_ANSWER_BYTES,
-    .connect_limit = CALL_CONNECT_TIMEOUT,
-    .first_limit = CALL_ANSWER_TIMEOUT,
-    .idle_limit = CALL_ANSWER_TIMEOUT,
+    .max_answer_bytes = MAX_CALL_ANSWER_BYTES,
+    .connect_timeout = CALL_CONNECT_TIMEOUT,
+    .first_byte_timeout = CALL_ANSWER_TIMEOUT,
+    .idle_timeout = CALL_ANSWER_TIMEOUT,
   };
 }
 
@@ -180,8 +180,8 @@
   EpExchangeStart start = engine_call_params (address, "GET", "/v1/load", NULL);
   Call *call;
 
-  start.first_limit = REPORT_TIMEOUT;
-  start.idle_limit = REPORT_TIMEOUT;
+  start.first_byte_timeout = REPORT_TIMEOUT;
+  start.idle_timeout = REPORT_TIMEOUT;
   call = call_start ((HttpClient *)client, &start, finish_report, data);
   call->func.report = done;
   return call->id;
@@ -214,7 +214,7 @@
   EpExchangeStart start = engine_call_params (address, "POST", "/v1/orders", body);
   Call *call;
 
-  start.first_limit = ORDER_ANSWER_TIMEOUT;
+  start.first_byte_timeout = ORDER_ANSWER_TIMEOUT;
   call = call_start ((HttpClient *)client, &start, finish_order, data);
   call->func.order = done;
   free (body);
@@ -285,10 +285,10 @@
     .request = service->request,
     .body = service->body,
     .body_bytes = service->body_bytes,
-    .answer_bound = service->answer_bound,
-    .connect_limit = service->connect_limit,
-    .first_limit = service->answer_limit,
-    .idle_limit = service->answer_limit,
+    .max_answer_bytes = service->max_answer_bytes,
+    .connect_timeout = service->connect_timeout,
+    .first_byte_timeout = service->answer_timeout,
+    .idle_timeout = service->answer_timeout,
   };
   Call *call = call_start ((HttpClient *)client, &start, finish_service, data);
 
--- a/endpoint/http_stream.c
+++ b/endpoint/http_stream.c
@@ -168,10 +168,10 @@
 
   if (text == NULL)
     {
-      gsize rest = evbuffer_get_length (data);
+      gsize remaining = evbuffer_get_length (data);
 
-      g_string_append_len (self->line, (const char *)evbuffer_pullup (data, -1), (gssize)rest);
-      evbuffer_drain (data, rest);
+      g_string_append_len (self->line, (const char *)evbuffer_pullup (data, -1), (gssize)remaining);
+      evbuffer_drain (data, remaining);
       return FALSE;
     }
   g_string_append_len (self->line, text, (gssize)length);
@@ -250,9 +250,9 @@
     .method = "POST",
     .path = "/v1/generate",
     .content_type = "application/json",
-    .connect_limit = generate->connect_limit,
-    .first_limit = generate->first_limit,
-    .idle_limit = generate->idle_limit,
+    .connect_timeout = generate->connect_timeout,
+    .first_byte_timeout = generate->first_byte_timeout,
+    .idle_timeout = generate->idle_timeout,
   };
   char *body = NULL;
   char *path = NULL;
--- a/entry/attempt.c
+++ b/entry/attempt.c
@@ -362,9 +362,9 @@
   self->last_seen_at = knl_kernel_now (self->host.kernel);
   self->generate.resume = self->sent;
   self->generate.from_offset = self->replay.tokens;
-  self->generate.connect_limit = MIN (CONNECT_TIMEOUT, left);
-  self->generate.first_limit = self->silence;
-  self->generate.idle_limit = self->silence;
+  self->generate.connect_timeout = MIN (CONNECT_TIMEOUT, left);
+  self->generate.first_byte_timeout = self->silence;
+  self->generate.idle_timeout = self->silence;
   self->stream = ep_client_generate (self->host.client, &self->generate, &stream_events, self);
 }
 
--- a/entry/plain.c
+++ b/entry/plain.c
@@ -146,7 +146,7 @@
 
 /* A connection may go silent: an idempotent call leaves half of the remaining time for a retry. */
 static KnlTime
-answer_limit (const EnRequest *request, KnlTime now)
+answer_timeout (const EnRequest *request, KnlTime now)
 {
   KnlTime left = MAX (request->deadline - now, KNL_MSEC);
 
@@ -166,9 +166,9 @@
     .content_type = request->content_type,
     .body = g_bytes_get_data (request->body, &body_bytes),
     .idempotency_key = request->key,
-    .connect_limit = MIN (CONNECT_TIMEOUT, MAX (request->deadline - now, KNL_MSEC)),
-    .answer_limit = answer_limit (request, now),
-    .answer_bound = MAX_ANSWER_BYTES,
+    .connect_timeout = MIN (CONNECT_TIMEOUT, MAX (request->deadline - now, KNL_MSEC)),
+    .answer_timeout = answer_timeout (request, now),
+    .max_answer_bytes = MAX_ANSWER_BYTES,
   };
 
   if (endpoint == NULL)
--- a/include/endpoint/endpoint.h
+++ b/include/endpoint/endpoint.h
@@ -44,14 +44,14 @@
   gsize prompt_bytes;
   guint64 prompt_tokens;
   guint64 max_tokens;
-  int priority;          /**< higher priorities are served first */
-  guint64 from_offset;   /**< with `resume`: offset of the first token to send */
-  gboolean resume;       /**< resume a stream that the engine already has */
-  gboolean hold;         /**< prefill and keep the KV cache; no tokens are generated */
-  const char *imports;   /**< JSON array of {"engine","request"}: held parts to import, or NULL */
-  KnlTime connect_limit; /**< timeout for connecting */
-  KnlTime first_limit;   /**< timeout for the first frame */
-  KnlTime idle_limit;    /**< timeout between later frames */
+  int priority;            /**< higher priorities are served first */
+  guint64 from_offset;     /**< with `resume`: offset of the first token to send */
+  gboolean resume;         /**< resume a stream that the engine already has */
+  gboolean hold;           /**< prefill and keep the KV cache; no tokens are generated */
+  const char *imports;     /**< JSON array of {"engine","request"}: held parts to import, or NULL */
+  KnlTime connect_timeout; /**< timeout for connecting */
+  KnlTime first_byte_timeout; /**< timeout for the first frame */
+  KnlTime idle_timeout;       /**< timeout between later frames */
 } EpGenerate;
 
 /** Events of a stream. on_end and on_failed are the last; the stream is freed after them. */
@@ -147,9 +147,9 @@
   const char *body;
   gsize body_bytes;
   const char *idempotency_key; /**< sent as Idempotency-Key unless NULL */
-  KnlTime connect_limit;
-  KnlTime answer_limit; /**< timeout for the first byte of the answer, and between later bytes */
-  gsize answer_bound;   /**< bytes; a longer answer is EP_MALFORMED */
+  KnlTime connect_timeout;
+  KnlTime answer_timeout; /**< timeout for the first byte of the answer, and between later bytes */
+  gsize max_answer_bytes; /**< bytes; a longer answer is EP_MALFORMED */
 } EpServiceCall;
 
 /** `failure` is NULL when the service answered, with any status. */
--- a/include/endpoint/exchange.h
+++ b/include/endpoint/exchange.h
@@ -41,10 +41,10 @@
   const char *request;         /**< sent as Alderturn-Request-Id; or NULL */
   const char *body;
   gsize body_bytes;
-  gsize answer_bound; /**< maximum size of the answer's body in bytes; 0: unlimited */
-  KnlTime connect_limit;
-  KnlTime first_limit; /**< timeout from sending to the first byte of the body */
-  KnlTime idle_limit;  /**< timeout between later bytes */
+  gsize max_answer_bytes; /**< maximum size of the answer's body in bytes; 0: unlimited */
+  KnlTime connect_timeout;
+  KnlTime first_byte_timeout; /**< timeout from sending to the first byte of the body */
+  KnlTime idle_timeout;       /**< timeout between later bytes */
 } EpExchangeStart;
 
 /** Starts an exchange; no event is emitted inside the call. */
--- a/tests/fakes/memory_engine.c
+++ b/tests/fakes/memory_engine.c
@@ -273,7 +273,7 @@
                 .func.service = done,
                 .data = data };
 
-  return call_start (client, service->address, service->answer_limit, &call);
+  return call_start (client, service->address, service->answer_timeout, &call);
 }
 
 static EpStream *
--- a/tests/fakes/memory_stream.c
+++ b/tests/fakes/memory_stream.c
@@ -139,7 +139,7 @@
             "time limit exceeded");
       return;
     }
-  fk_call_set_limit (call, stream->generate.idle_limit);
+  fk_call_set_limit (call, stream->generate.idle_timeout);
   if (line->failed)
     fail (stream, line->failure, line->leaving, line->frame.text);
   else
@@ -270,7 +270,8 @@
   gboolean connects = stream->fault != FK_CONNECTION_NO_CONNECT;
 
   fk_call_open (&stream->base, &stream_class, calls,
-                connects ? stream->latency + generate->first_limit : generate->connect_limit);
+                connects ? stream->latency + generate->first_byte_timeout
+                         : generate->connect_timeout);
   if (stream->fault == FK_CONNECTION_REFUSED)
     send_failure (stream, EP_NOT_SENT, FALSE, "connection refused");
   else if (connects && stream->fault != FK_CONNECTION_NO_REQUEST)
--- a/tests/fuzz/targets.c
+++ b/tests/fuzz/targets.c
@@ -49,12 +49,13 @@
   HtReader *reader = ht_reader_new (responses, &limits, &events, NULL);
   HtReadStatus status;
   HtMessage *message = NULL;
-  gsize taken = 0;
+  gsize consumed = 0;
 
   ht_reader_begin (reader, FALSE);
-  status = ht_reader_feed (reader, (const char *)bytes, length / 2, &taken);
+  status = ht_reader_feed (reader, (const char *)bytes, length / 2, &consumed);
   if (status == HT_READ_MORE)
-    status = ht_reader_feed (reader, (const char *)bytes + length / 2, length - length / 2, &taken);
+    status =
+        ht_reader_feed (reader, (const char *)bytes + length / 2, length - length / 2, &consumed);
   if (status == HT_READ_MORE)
     status = ht_reader_finish (reader);
   if (status == HT_READ_COMPLETE)
--- a/tests/standins/engine_model.c
+++ b/tests/standins/engine_model.c
@@ -15,13 +15,13 @@
   .transfer_rate = 500000,
   .clock_factor = 1,
   .step = 20 * KNL_MSEC,
-  .hold_limit = 30 * KNL_SEC,
+  .hold_timeout = 30 * KNL_SEC,
   .load_lag = 500 * KNL_MSEC,
   .cache_lag = 500 * KNL_MSEC,
   .cache_gap_percent = 2,
   .model_load_time = 5 * KNL_SEC,
   .weight_bytes = 14e9,
-  .short_limit = 32768,
+  .max_short_prompt_tokens = 32768,
   .checks_fence = TRUE,
   .role = "any",
 };
@@ -175,7 +175,7 @@
   if (!model_fits (engine, request))
     return SD_WRONG_MODEL;
   if (strcmp (engine->settings.role, "short") == 0
-      && tokens_of (request) > engine->settings.short_limit)
+      && tokens_of (request) > engine->settings.max_short_prompt_tokens)
     return SD_WRONG_ROLE;
   return engine->waiting >= engine->settings.max_waiting ? SD_BUSY : SD_ACCEPTED;
 }
--- a/tests/standins/engine_model.h
+++ b/tests/standins/engine_model.h
@@ -29,13 +29,13 @@
   double transfer_rate; /**< of imported KV cache */
   double clock_factor;  /**< seconds of engine time per second of the kernel's clock */
   KnlTime step;         /**< minimum time between two steps */
-  KnlTime hold_limit;   /**< how long answers and held parts without a reader are kept */
+  KnlTime hold_timeout; /**< how long answers and held parts without a reader are kept */
   KnlTime load_lag;
   KnlTime cache_lag;
   guint cache_gap_percent;
-  KnlTime model_load_time; /**< minimum; fetching the weights may take longer */
-  double weight_bytes;     /**< size of a model's weights; 0: none are fetched */
-  guint64 short_limit;     /**< longest prompt in role "short", tokens */
+  KnlTime model_load_time;         /**< minimum; fetching the weights may take longer */
+  double weight_bytes;             /**< size of a model's weights; 0: none are fetched */
+  guint64 max_short_prompt_tokens; /**< longest prompt in role "short", tokens */
   gboolean checks_fence;
   gboolean any_model; /**< accept requests for all models until the first order */
   const char *model;  /**< loaded at the start, or NULL */
--- a/tests/standins/engine_step.c
+++ b/tests/standins/engine_step.c
@@ -181,13 +181,13 @@
   for (guint i = 0; i < engine->requests->len && budget > 0; i++)
     {
       Request *request = g_ptr_array_index (engine->requests, i);
-      double part;
+      double processed;
 
       if (request->state != REQUEST_PREFILL)
         continue;
-      part = MIN (budget, request->prefill_left);
-      budget -= part;
-      request->prefill_left -= part;
+      processed = MIN (budget, request->prefill_left);
+      budget -= processed;
+      request->prefill_left -= processed;
       if (request->prefill_left > 0)
         continue;
       request->state = request->hold ? REQUEST_HELD : REQUEST_DECODE;
@@ -238,13 +238,13 @@
 static void
 expire_unread (SdEngine *engine)
 {
-  KnlTime limit = knl_kernel_now (engine->kernel) - engine->settings.hold_limit;
+  KnlTime cutoff = knl_kernel_now (engine->kernel) - engine->settings.hold_timeout;
 
   for (guint i = engine->requests->len; i-- > 0;)
     {
       Request *request = g_ptr_array_index (engine->requests, i);
 
-      if (request->reader != NULL || request->unread_since > limit)
+      if (request->reader != NULL || request->unread_since > cutoff)
         continue;
       sd_engine_release (engine, request);
       sd_engine_drop (engine, request);
@@ -290,7 +290,7 @@
 sd_engine_schedule (SdEngine *engine)
 {
   gboolean busy = engine->waiting > 0 || has_work (engine);
-  KnlTime idle_step = MIN (engine->settings.hold_limit / 4, KNL_SEC);
+  KnlTime idle_step = MIN (engine->settings.hold_timeout / 4, KNL_SEC);
 
   if (busy && engine->timer_is_idle)
     {
--- a/tests/standins/http_server.c
+++ b/tests/standins/http_server.c
@@ -86,10 +86,10 @@
 static gboolean
 route_matches (const SdRoute *route, int method, const char *path)
 {
-  gboolean below = g_str_has_suffix (route->path, "/");
+  gboolean is_prefix = g_str_has_suffix (route->path, "/");
 
   return (route->methods & method) != 0
-         && (below ? g_str_has_prefix (path, route->path) : strcmp (path, route->path) == 0);
+         && (is_prefix ? g_str_has_prefix (path, route->path) : strcmp (path, route->path) == 0);
 }
 
 static void
--- a/tests/standins/prefix_cache_model.c
+++ b/tests/standins/prefix_cache_model.c
@@ -117,9 +117,9 @@
 }
 
 void
-sd_prefix_cache_shrink (SdPrefixCache *cache, guint64 limit)
+sd_prefix_cache_shrink (SdPrefixCache *cache, guint64 max_tokens)
 {
-  while (sd_prefix_cache_tokens (cache) > limit)
+  while (sd_prefix_cache_tokens (cache) > max_tokens)
     {
       guint64 *hash = g_queue_pop_tail (&cache->recent);
 
@@ -130,9 +130,9 @@
 }
 
 void
-sd_prefix_cache_add (SdPrefixCache *cache, const GArray *blocks, guint64 limit)
+sd_prefix_cache_add (SdPrefixCache *cache, const GArray *blocks, guint64 max_tokens)
 {
-  guint64 fitting = MIN (blocks->len, limit / SD_BLOCK_TOKENS);
+  guint64 fitting = MIN (blocks->len, max_tokens / SD_BLOCK_TOKENS);
 
   /* Last block first: a block is useless without those before it, which must be evicted later. */
   for (guint64 i = fitting; i-- > 0;)
@@ -147,7 +147,7 @@
       g_hash_table_insert (cache->blocks, hash, cache->recent.head);
       publish (cache, *hash, TRUE);
     }
-  sd_prefix_cache_shrink (cache, limit);
+  sd_prefix_cache_shrink (cache, max_tokens);
 }
 
 guint64
--- a/tests/standins/prefix_cache_model.h
+++ b/tests/standins/prefix_cache_model.h
@@ -23,11 +23,11 @@
 /** Tokens of the longest cached prefix of `blocks`; marks these blocks as used. */
 guint64 sd_prefix_cache_match (SdPrefixCache *cache, const GArray *blocks);
 
-/** Adds as many of the first `blocks` as fit in `limit`; evicts the least recently used. */
-void sd_prefix_cache_add (SdPrefixCache *cache, const GArray *blocks, guint64 limit);
+/** Adds as many of the first `blocks` as fit in `max_tokens`; evicts the least recently used. */
+void sd_prefix_cache_add (SdPrefixCache *cache, const GArray *blocks, guint64 max_tokens);
 
-/** Evicts until at most `limit` tokens are cached. */
-void sd_prefix_cache_shrink (SdPrefixCache *cache, guint64 limit);
+/** Evicts until at most `max_tokens` tokens are cached. */
+void sd_prefix_cache_shrink (SdPrefixCache *cache, guint64 max_tokens);
 
 /** Appends the readable events after sequence `after`; returns the last readable sequence. */
 guint64 sd_prefix_cache_events (SdPrefixCache *cache, guint64 after, GArray *events);
--- a/tests/standins/program.c
+++ b/tests/standins/program.c
@@ -81,7 +81,7 @@
 put_instance (gpointer data)
 {
   SdServer *server = data;
-  gboolean elsewhere = server->advertised_address != NULL;
+  gboolean has_advertised_address = server->advertised_address != NULL;
 
   server->retry = 0;
   if (server->platform_address == NULL)
@@ -89,9 +89,9 @@
   call_platform (server, EVHTTP_REQ_PUT,
                  json_pack ("{s:s, s:s, s:s, s:s, s:s, s:s, s:s}", "name", server->name, "kind",
                             server->program->kind, "address",
-                            elsewhere ? server->advertised_address : server->address, "zone",
-                            server->zone, "region", server->region, "service", server->label,
-                            "state", server->leaving ? "leaving" : "live"),
+                            has_advertised_address ? server->advertised_address : server->address,
+                            "zone", server->zone, "region", server->region, "service",
+                            server->label, "state", server->leaving ? "leaving" : "live"),
                  on_put);
 }
 
--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -44,7 +44,11 @@
   SD_RATE (Program, "decode-rate", settings.decode_rate, "50", "Tokens per second of a stream"),
   SD_RATE (Program, "clock-factor", settings.clock_factor, "1", "Engine seconds per real second"),
   SD_FLAG (Program, "check-fence", settings.checks_fence, "Refuse orders with a stale number"),
-  SD_NUMBER (Program, "hold-ms", settings.hold_limit, "30000", "How long unread answers are kept"),
+  SD_NUMBER (Program,
+             "hold-ms",
+             settings.hold_timeout,
+             "30000",
+             "How long unread answers are kept"),
   SD_NUMBER (Program, "load-lag-ms", settings.load_lag, "500", "Age of the load report"),
   SD_NUMBER (Program, "cache-lag-ms", settings.cache_lag, "500", "Lag of published cache events"),
   SD_NUMBER (Program, "model-load-ms", settings.model_load_time, "2000", "Minimum time to load"),
@@ -350,7 +354,7 @@
   values.prefill_rate = MAX (values.prefill_rate, MIN_RATE);
   values.decode_rate = MAX (values.decode_rate, MIN_RATE);
   values.clock_factor = MAX (values.clock_factor, MIN_RATE);
-  values.hold_limit *= KNL_MSEC;
+  values.hold_timeout *= KNL_MSEC;
   values.load_lag *= KNL_MSEC;
   values.cache_lag *= KNL_MSEC;
   values.model_load_time *= KNL_MSEC;
--- a/tests/standins/standin_load.c
+++ b/tests/standins/standin_load.c
@@ -123,23 +123,23 @@
   const SdCompletionResult none = {
     .request = "", .outcome = "no-entries", .code = "", .first_token = -1
   };
-  gboolean good = status == 200 && json_array_size (list) > 0;
+  gboolean is_valid = status == 200 && json_array_size (list) > 0;
   GQueue waiting = program->waiting;
   Call *call;
 
   program->polling = FALSE;
-  if (!good && ++program->failed_polls < MAX_ENTRIES_POLLS)
+  if (!is_valid && ++program->failed_polls < MAX_ENTRIES_POLLS)
     {
       knl_timer_start (program->server.kernel, RETRY_DELAY, poll_entries, program);
       return;
     }
-  if (good)
+  if (is_valid)
     store_entries (program, list, sd_json_number (body, "keep_ms", 1000) * KNL_MSEC);
   program->failed_polls = 0;
   g_queue_init (&program->waiting);
   while ((call = g_queue_pop_head (&waiting)) != NULL)
     {
-      if (good)
+      if (is_valid)
         start_call (call);
       else
         finish_call (call, &none);
--- a/tests/standins/standin_proxy.c
+++ b/tests/standins/standin_proxy.c
@@ -158,9 +158,10 @@
 static void
 on_written (struct bufferevent *to, void *data)
 {
-  Direction *reading = data;
+  Direction *read_direction = data;
 
-  close_if_flushed (&reading->connection->directions[reading->connection->ends[0] == to ? 1 : 0]);
+  close_if_flushed (
+      &read_direction->connection->directions[read_direction->connection->ends[0] == to ? 1 : 0]);
 }
 
 static void
--- a/tests/unit/ct_controller_test.c
+++ b/tests/unit/ct_controller_test.c
@@ -39,7 +39,7 @@
   g_autofree char *changes = fk_deployment_default_changes (1);
 
   options.engine.checks_fence = checks_fence;
-  options.engine.hold_limit = 3600 * KNL_SEC;
+  options.engine.hold_timeout = 3600 * KNL_SEC;
   fixture->deployment = fk_deployment_new (&options);
   fixture->clock = fk_deployment_clock (fixture->deployment);
   knl_paused_clock_advance (fixture->clock, 2 * KNL_SEC);
--- a/tests/unit/en_front_test.c
+++ b/tests/unit/en_front_test.c
@@ -398,15 +398,15 @@
                               .model = "m",
                               .prompt = "p",
                               .prompt_bytes = 1,
-                              .connect_limit = HANG_TIMEOUT,
-                              .first_limit = 100 * KNL_MSEC,
-                              .idle_limit = HANG_TIMEOUT };
+                              .connect_timeout = HANG_TIMEOUT,
+                              .first_byte_timeout = 100 * KNL_MSEC,
+                              .idle_timeout = HANG_TIMEOUT };
       g_autoptr (Fixture) fixture = fixture_new ();
 
       fixture->script = c->script;
       fixture->engine_status = c->status;
       generate.address = c->status != 0 ? fixture->engine_address : "127.0.0.1:1";
-      generate.first_limit = c->script == NULL ? 100 * KNL_MSEC : HANG_TIMEOUT;
+      generate.first_byte_timeout = c->script == NULL ? 100 * KNL_MSEC : HANG_TIMEOUT;
       ep_client_generate (fixture->client, &generate, &stream_events, &result);
       CU_ASSERT_EQUAL (result.ended, 0);
       CU_ASSERT_TRUE (run_until (fixture, NULL, NULL, &result.ended));
--- a/tests/unit/engine_model_test.c
+++ b/tests/unit/engine_model_test.c
@@ -48,7 +48,7 @@
   f.fleet = fk_fleet_new (f.clock);
   f.client = fk_fleet_client_new (f.fleet, f.kernel);
   f.settings.model = "m";
-  f.settings.hold_limit = 5 * KNL_SEC;
+  f.settings.hold_timeout = 5 * KNL_SEC;
   f.prompt = g_strnfill (1600000, 'p');
   for (guint i = 0; i < G_N_ELEMENTS (f.answers); i++)
     f.answers[i].text = g_string_new (NULL);
@@ -121,9 +121,9 @@
     .prompt_bytes = tokens * 4,
     .prompt_tokens = tokens,
     .max_tokens = 100,
-    .connect_limit = KNL_SEC,
-    .first_limit = KNL_SEC,
-    .idle_limit = 3 * KNL_SEC,
+    .connect_timeout = KNL_SEC,
+    .first_byte_timeout = KNL_SEC,
+    .idle_timeout = 3 * KNL_SEC,
   };
 }
 
@@ -158,8 +158,8 @@
   EpGenerate longer = generation (&f, "long", 200000);
   EpGenerate shorter = generation (&f, "short", 1000);
   KnlTime start;
-  longer.idle_limit = 60 * KNL_SEC;
-  shorter.idle_limit = 60 * KNL_SEC;
+  longer.idle_timeout = 60 * KNL_SEC;
+  shorter.idle_timeout = 60 * KNL_SEC;
   shorter.priority = priority;
   send (&f, 0, &longer, KNL_SEC);
   start = knl_paused_clock_now (f.clock);
@@ -404,9 +404,9 @@
       EpGenerate full = generation (&f, "whole", 400000);
       part.address = OTHER;
       part.hold = TRUE;
-      part.idle_limit = 60 * KNL_SEC;
+      part.idle_timeout = 60 * KNL_SEC;
       full.imports = "[{\"engine\":\"" OTHER "\",\"request\":\"part\"}]";
-      full.idle_limit = 60 * KNL_SEC;
+      full.idle_timeout = 60 * KNL_SEC;
       send (&f, 0, &part, 16 * KNL_SEC);
       CU_ASSERT_TRUE (f.answers[0].ended);
       send (&f, 1, &full, KNL_SEC / 2);
@@ -438,7 +438,7 @@
   CU_ASSERT_TRUE (f.answers[1].tokens > 0);
   generate = generation (&f, "third", 390000);
   generate.prompt = f.prompt + 4;
-  generate.idle_limit = 60 * KNL_SEC;
+  generate.idle_timeout = 60 * KNL_SEC;
   knl_paused_clock_advance (f.clock, 2 * KNL_SEC);
   send (&f, 2, &generate, KNL_SEC);
   CU_ASSERT_EQUAL (sd_prefix_cache_tokens (cache) / SD_BLOCK_TOKENS, 2);
--- a/tests/unit/engine_orders_test.c
+++ b/tests/unit/engine_orders_test.c
@@ -163,7 +163,7 @@
                              .method = "POST",
                              .path = "/confirm",
                              .idempotency_key = "k",
-                             .answer_limit = KNL_SEC };
+                             .answer_timeout = KNL_SEC };
       fk_fleet_add_service (f.fleet, call.address);
       fk_fleet_service (f.fleet, call.address)->fault = rows[i].fault;
       fk_fleet_set_fault (f.fleet, call.address, rows[i].connection, 0, 0);
