--- a/bench/policies_main.c
+++ b/bench/policies_main.c
@@ -102,7 +102,7 @@
       fprintf (stderr, "policy-bench: engines, instances and seconds must be 1 or more\n");
       return 2;
     }
-  printf ("%-32s %-22s %-22s %-22s %-22s %6s %5s\n", "", "earned of owed", "short in time",
+  printf ("%-32s %-22s %-22s %-22s %-22s %6s %5s\n", "", "earned of offered", "short in time",
           "middle", "long", "p95 ms", "busy");
   for (const char *const *name = bench_policy_names (); *name != NULL; name++)
     {
--- a/tests/fakes/memory_call.h
+++ b/tests/fakes/memory_call.h
@@ -23,8 +23,8 @@
 {
   /** The call has arrived at the far end. */
   void (*arrive) (FkCall *call);
-  /** The client receives a piece of the answer; NULL: the time limit has passed. Both leave it to
-   * the callee to end the call with fk_call_end(). */
+  /** The client receives a piece of the answer; NULL: the time limit has passed. The call
+   * stays open until the implementation ends it with fk_call_end(). */
   void (*receive) (FkCall *call, gpointer piece);
   /** The client has closed its end; may be NULL. */
   void (*closed) (FkCall *call);
--- a/tests/fakes/memory_engine_internal.h
+++ b/tests/fakes/memory_engine_internal.h
@@ -43,8 +43,7 @@
 Endpoint *fk_fleet_find (FkFleet *fleet, const char *address);
 
 /** The fault of a connection made now; FK_CONNECTION_REFUSED when the endpoint is down or NULL.
- * Sets
- * `*frames` to the number of lines that still arrive. */
+ * Sets `*frames` to the number of lines that still arrive. */
 FkConnectionFault fk_endpoint_connect (Endpoint *endpoint, guint *frames);
 
 /** A stream's first member is its FkCall. */
--- a/tests/fakes/pass_engine.c
+++ b/tests/fakes/pass_engine.c
@@ -2,7 +2,7 @@
 
 #include "serve/engine_model.h"
 
-/* One event brings as many tokens of an answer as a pass has steps (`stride`). */
+/* One event carries as many tokens of an answer as a pass has steps (`stride`). */
 
 /** The part of a prompt that one engine prefills. */
 typedef struct
--- a/tests/fakes/pass_engine.h
+++ b/tests/fakes/pass_engine.h
@@ -4,8 +4,8 @@
  * A model of an engine that works in forward passes, as the users' platform
  * describes them, in memory and on a paused clock.
  *
- * A pass with decoding requests makes `stride` steps and brings each of them one
- * event at its end; each step also prefills up to `chunk` prompt tokens. Without
+ * A pass with decoding requests makes `stride` steps and emits one event for each of
+ * them at its end; each step also prefills up to `chunk` prompt tokens. Without
  * decoding requests a pass is one step. Parts of prompts that belong to requests of
  * other engines are prefilled first, the newest first. Requests that exceed the
  * slots or the memory wait in the order of their arrival.
--- a/tests/faults/cluster.c
+++ b/tests/faults/cluster.c
@@ -360,7 +360,8 @@
       result.wrong += (guint)json_integer_value (json_object_get (row, "wrong"));
       result.retries += (guint)json_integer_value (json_object_get (row, "retries"));
     }
-  printf ("[%u started, %u whole, %u retries] ", result.started, result.completed, result.retries);
+  printf ("[%u started, %u completed, %u retries] ", result.started, result.completed,
+          result.retries);
   if (result.completed < result.started)
     puts (hn_output (load));
   json_decref (output);
--- a/tests/faults/command_line_test.c
+++ b/tests/faults/command_line_test.c
@@ -62,7 +62,8 @@
 {
   int status = hn_await_exit (process, HN_TIMEOUT);
 
-  /* The process has ended. Its status is for the test to judge, not for the harness. */
+  /* It has ended, and the test checks its status. Marked as killed, so that the harness doesn't
+   * treat a status other than 0 as a fault. */
   hn_kill (process);
   *answer = json_loads (hn_output (process), 0, NULL);
   CU_ASSERT_PTR_NOT_NULL (*answer);
--- a/tests/faults/gateway_test.c
+++ b/tests/faults/gateway_test.c
@@ -173,9 +173,9 @@
 }
 
 /*
- * Guards against crashes (signal 11 a second after the start) and routing by freed names after the
- * settings file is reloaded: other modules point to names and addresses of the first settings,
- * which must not be freed with them.
+ * Guards against processes that crash (signal 11 a second after the start) or route by freed names
+ * when the settings file is reloaded: other modules point to names and addresses of the first
+ * settings, so a reload must not free these.
  */
 static void
 test_settings_are_read_again (void)
--- a/tests/faults/harness.c
+++ b/tests/faults/harness.c
@@ -14,7 +14,8 @@
 
 #include "kernel/event_runtime.h"
 
-/** Interval at which ended processes are reaped and awaited conditions evaluated. */
+/** Interval at which ended processes are reaped and the conditions that tests wait for evaluated.
+ */
 #define POLL_INTERVAL_MS ((KnlTime)5)
 
 #define DUMP_LINES 40
--- a/tests/faults/harness_http.c
+++ b/tests/faults/harness_http.c
@@ -170,7 +170,7 @@
   return status;
 }
 
-/** Delay between two requests while an expected status is awaited. */
+/** Delay between two requests while waiting for a status. */
 #define RETRY_DELAY (20 * KNL_MSEC)
 
 gboolean
--- a/tests/faults/promises_test.c
+++ b/tests/faults/promises_test.c
@@ -265,10 +265,10 @@
 typedef struct
 {
   HnCluster *cluster;
-  gboolean is_used; /* the awaited state */
+  gboolean is_used; /* the expected state */
 } Memory;
 
-/* Whether the engines report memory in use, or none, as awaited. */
+/* Whether the engines report memory in use, or none, as expected. */
 static gboolean
 memory_use_is (gpointer data)
 {
@@ -295,8 +295,9 @@
 
 /*
  * Guards against engine memory that stays in use after an entry died: the entry is killed while it
- * streams a long answer, and a new process replaces it. The engine holds a request without a reader
- * for ten minutes and would continue it, as no other process knows of the request any longer.
+ * streams a long answer, and a new process replaces it. The engine keeps a request for
+ * ten minutes after its connection closed and would go on with it, and no other process knows of
+ * the request to cancel it.
  */
 static void
 test_memory_of_a_killed_entry_comes_back (void)
@@ -420,7 +421,7 @@
   for (guint i = 2; i < G_N_ELEMENTS (calls); i++)
     outcomes[i] = confirm_await (calls[i]);
   ran = runs_of (cluster, key);
-  printf ("[%s: told %s, ran %d] ", row->name, outcomes, (int)ran);
+  printf ("[%s: outcomes %s, ran %d] ", row->name, outcomes, (int)ran);
   CU_ASSERT_TRUE (ran <= 1);
   CU_ASSERT_TRUE (row->runs < 0 || ran == row->runs);
   CU_ASSERT_TRUE (ran == 1 || strchr (outcomes, 'd') == NULL);
@@ -435,11 +436,11 @@
 }
 
 /*
- * Guards against a non-idempotent call that is executed twice, or although its caller received that
- * it was not run. One Idempotency-Key is sent through two entries at the same time, and again
+ * Guards against a non-idempotent call that is executed twice, or executed although its caller
+ * received "not-run". One Idempotency-Key is sent through two entries at the same time, and again
  * through both; the service or the table fails in between, or the entry is killed after the service
  * has the call. It comes about when an attempt runs without a record that the other entry sees, or
- * when an attempt without an answer is taken for one that didn't run.
+ * when an attempt without an answer is treated as one that didn't run.
  */
 static void
 test_a_confirmation_runs_at_most_once (void)
--- a/tests/soak/gateway_soak.c
+++ b/tests/soak/gateway_soak.c
@@ -1,7 +1,7 @@
 /**
  * Runs real gateways under external faults: overlapping signals, a store that
  * refuses calls, drops them or doesn't answer, a proxy in front of an endpoint that
- * delays, resets and silences connections, reloaded settings, withdrawn keys. The
+ * delays, closes and freezes connections, reloaded settings, withdrawn keys. The
  * guarantees are checked from the callers' and the endpoints' side.
  *
  * usage: gateway_soak FIRST COUNT SECONDS; runs the seeds FIRST to FIRST + COUNT - 1.
@@ -53,7 +53,8 @@
   "\"service\":\"s\"}],\"services\":[{\"name\":\"s\"}],"                                           \
   "\"tenants\":[{\"name\":\"w\",\"apiKeys\":[\"key\",\"key-%u\"]}]}"
 
-/* The key of a version is withdrawn by the next version. */
+/* When the request's key was withdrawn, which the next version of the configuration does; the time
+ * of sending if it wasn't. */
 static KnlTime
 withdrawn_at (const Soak *self, const Request *request)
 {
@@ -67,8 +68,9 @@
 {
   self->violations++;
   fprintf (stderr,
-           "broken: %s: request %s to gateway-%d, once %d, status %u, runs %u, key of version %u, "
-           "sent %" G_GINT64_FORMAT " ms and run %" G_GINT64_FORMAT " ms after the key went\n",
+           "violated: %s: request %s to gateway-%d, at most once %d, status %u, runs %u, "
+           "key of version %u, sent %" G_GINT64_FORMAT " ms and run %" G_GINT64_FORMAT
+           " ms after the key was withdrawn\n",
            promise, request->id, (int)(request->gateway - self->gateways), request->is_at_most_once,
            request->status, request->runs, request->key,
            (request->sent_at - withdrawn_at (self, request)) / KNL_MSEC,
@@ -124,7 +126,7 @@
                                                 .done = on_done,
                                                 .failed = on_failed };
 
-/* `version`: the configuration whose key is used; 0: the permanent key. */
+/* `version`: that of the configuration whose key is used; 0: the permanent key. */
 static Request *
 send_to (Soak *self, Gateway *gateway, guint version)
 {
@@ -215,13 +217,13 @@
   if (request->is_at_most_once && request->runs > 1)
     report (self, request, "a request that is not idempotent runs at most once");
   if (request->is_at_most_once && refused && request->runs > 0)
-    report (self, request, "what is refused has not run");
+    report (self, request, "a refused request has not run");
   if (request->ended_at == 0 && gs_now (self) - request->sent_at > REQUEST_TIMEOUT + ANSWER_SLACK
       && gs_now (self) - request->gateway->faulted_at > REQUEST_TIMEOUT + ANSWER_SLACK)
     report (self, request, "each request ends within its limit");
   if (request->key > 0 && request->key < self->version && request->runs > 0
       && request->ran_at > withdrawn_at (self, request) + KEY_TIMEOUT)
-    report (self, request, "a withdrawn key is out of use within its bound");
+    report (self, request, "a withdrawn key stops working within its bound");
 }
 
 static void
@@ -362,10 +364,10 @@
   hn_run_for (soak.harness, REQUEST_TIMEOUT + ANSWER_SLACK);
   check_all (&soak);
   check_settled (&soak);
-  printf (
-      "seed %u: %u requests, %u answered, %u counted against a limit of %u, %u rests, %u broken\n",
-      seed, soak.next, soak.answered, soak.endpoints[ENDPOINTS - 1].arrivals->len,
-      soak.endpoints[ENDPOINTS - 1].rate, soak.backoffs, soak.violations);
+  printf ("seed %u: %u requests, %u answered, %u counted against a limit of %u, "
+          "%u answers with Retry-After, %u violations\n",
+          seed, soak.next, soak.answered, soak.endpoints[ENDPOINTS - 1].arrivals->len,
+          soak.endpoints[ENDPOINTS - 1].rate, soak.backoffs, soak.violations);
   if (soak.violations > 0)
     print_logs (&soak);
   CU_ASSERT_EQUAL (soak.violations, 0);
--- a/tests/soak/gateway_soak_endpoints.c
+++ b/tests/soak/gateway_soak_endpoints.c
@@ -1,5 +1,5 @@
-/** The endpoints of the gateway soak: they fail at random and ask for backoff by Retry-After, one
- * finally advertises that it is leaving, and the last one advertises a rate limit. */
+/** The endpoints of the gateway soak: they fail at random, and all except the first send
+ * Retry-After. One finally advertises that it is leaving; the last advertises a rate limit. */
 
 #include <CUnit/CUnit.h>
 #include <string.h>
@@ -9,7 +9,7 @@
 /* Range of the rate limit, in requests a second, that the last endpoint advertises from a third of
  * the run on, and the span in which its arrivals are checked against it (see gs_check_limit()). A
  * gateway's requests count LIMIT_EFFECT_DELAY after it received the limit, and LIMIT_GRACE after
- * the last signal to its process and after the limit was set. */
+ * the last fault of its process and after the limit was set. */
 #define MIN_RATE           2
 #define MAX_RATE           7
 #define LIMIT_SPAN         (4 * KNL_SEC)
@@ -17,8 +17,8 @@
 #define LIMIT_GRACE        (3 * KNL_SEC)
 
 /* Fraction of the refusals that carry Retry-After, its value, the time after which a gateway must
- * honour it, and the number of requests that a gateway without a signal since may still send until
- * it expires. */
+ * honour it, and the number of requests that a gateway whose process had no fault since may still
+ * send until it expires. */
 #define BACKOFF_FRACTION     0.1
 #define BACKOFF_SECONDS      2
 #define BACKOFF              (BACKOFF_SECONDS * KNL_SEC)
@@ -73,7 +73,7 @@
 }
 
 /* Checks that a gateway honours the leaving signal and Retry-After. Those that it received before
- * the last signal to its process don't count, as it may have lost them. */
+ * the last fault of its process don't count, as it may have lost them. */
 static void
 check_signals (Endpoint *self, const Request *request)
 {
@@ -85,7 +85,7 @@
       && request->sent_at > signals->leaving_at + LEAVING_BOUND)
     {
       self->soak->violations++;
-      fprintf (stderr, "broken: request %s reached an endpoint that had advertised leaving\n",
+      fprintf (stderr, "violated: request %s reached an endpoint that had advertised leaving\n",
                request->id);
     }
   if (signals->backoff_at <= gateway->faulted_at || now < signals->backoff_at + BACKOFF_EFFECT_DELAY
@@ -94,12 +94,12 @@
   if (++signals->n_in_backoff <= MAX_IN_BACKOFF)
     return;
   self->soak->violations++;
-  fprintf (stderr, "broken: request %s is number %u to an endpoint during its Retry-After\n",
+  fprintf (stderr, "violated: request %s is number %u to an endpoint during its Retry-After\n",
            request->id, signals->n_in_backoff);
 }
 
-/* Not the first endpoint: the proxy in front of it may delay requests that were sent before its
- * Retry-After. */
+/* The first endpoint never sends Retry-After: the proxy in front of it may delay requests that were
+ * sent before the gateway received it. */
 static gboolean
 asks_for_backoff (const Endpoint *self)
 {
@@ -170,7 +170,7 @@
   if (request == NULL)
     {
       self->violations++;
-      fprintf (stderr, "broken: a request that no caller sent reached an endpoint\n");
+      fprintf (stderr, "violated: a request that no caller sent reached an endpoint\n");
       ht_call_abort (call);
       return;
     }
@@ -264,9 +264,10 @@
       if (end - i <= most)
         continue;
       self->violations++;
-      fprintf (stderr,
-               "broken: an endpoint with a limit of %u a second received %u requests, allowed %u\n",
-               endpoint->rate, end - i, most);
+      fprintf (
+          stderr,
+          "violated: an endpoint with a limit of %u a second received %u requests, allowed %u\n",
+          endpoint->rate, end - i, most);
       return;
     }
 }
--- a/tests/soak/gateway_soak_internal.h
+++ b/tests/soak/gateway_soak_internal.h
@@ -20,12 +20,12 @@
   const char *link;
   char *settings;
   HnProcess *process;
-  KnlTime faulted_at;          /* last signal to the process */
+  KnlTime faulted_at;          /* last start, stop, kill or termination of the process */
   KnlTime limit_advertised_at; /* when an answer first advertised the limit to this process; 0: not
                                   yet */
 } Gateway;
 
-/** The signals that an endpoint has sent to a gateway. */
+/** What an endpoint has advertised to a gateway in its answers. */
 typedef struct
 {
   KnlTime leaving_at; /* when it advertised that it is leaving; 0: not yet */
@@ -33,7 +33,6 @@
   guint n_in_backoff; /* requests that arrived before that Retry-After expired */
 } EndpointSignals;
 
-/** An endpoint. */
 typedef struct
 {
   Soak *soak;
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -111,7 +111,7 @@
   else
     soak->result.failed++;
   if (caller->wrong)
-    violation (soak, "whole and own answer", text);
+    violation (soak, "complete and own answer", text);
 }
 
 static guint
@@ -178,8 +178,7 @@
                                           fk_deployment_engine_address (soak->deployment, i));
 
       if (engine == NULL || sd_engine_reserved_tokens (engine) != 0)
-        violation (soak, "memory is given back",
-                   fk_deployment_engine_address (soak->deployment, i));
+        violation (soak, "memory is released", fk_deployment_engine_address (soak->deployment, i));
     }
 }
 
--- a/tests/soak/soak_faults.c
+++ b/tests/soak/soak_faults.c
@@ -11,7 +11,7 @@
 {
   const char *name;
   FaultFunc func;
-  gboolean is_transient; /* it needs no end, as its effect passes by itself */
+  gboolean is_transient; /* has no end to undo: `func` is only called to begin it */
 } Fault;
 
 typedef struct
@@ -39,7 +39,7 @@
   return fk_deployment_engine_address (soak->deployment, target);
 }
 
-/* NULL: it is down. */
+/* NULL: the engine is down. */
 static SdEngine *
 engine_of (const Soak *soak, guint target)
 {
@@ -193,7 +193,7 @@
   { "platform outage", platform_outage, FALSE },
   { "platform slow", platform_slow, FALSE },
   { "platform loses answers", platform_loses, FALSE },
-  { "controller deaf to platform", lose_platform_answers, FALSE },
+  { "controller loses platform answers", lose_platform_answers, FALSE },
   { "crash engine", crash_engine, FALSE },
   { "freeze engine", freeze_engine, FALSE },
   { "connection fault", connection_fault, TRUE },
