--- a/tests/soak/gateway_soak_endpoints.c
+++ b/tests/soak/gateway_soak_endpoints.c
@@ -110,12 +110,12 @@
 refuse_request (Endpoint *self, Gateway *gateway, HtCall *call, const char *id)
 {
   g_autofree char *advertised_fields = signal_fields (self, gateway);
-  gboolean backoffs = asks_for_backoff (self);
-  g_autofree char *fields =
-      g_strdup_printf ("X-Attempt-Id: %s\r\nX-Not-Run: 1\r\n%s%s", id, advertised_fields,
-                       backoffs ? "Retry-After: " G_STRINGIFY (BACKOFF_SECONDS) "\r\n" : "");
+  gboolean with_retry_after = asks_for_backoff (self);
+  g_autofree char *fields = g_strdup_printf (
+      "X-Attempt-Id: %s\r\nX-Not-Run: 1\r\n%s%s", id, advertised_fields,
+      with_retry_after ? "Retry-After: " G_STRINGIFY (BACKOFF_SECONDS) "\r\n" : "");
 
-  if (backoffs)
+  if (with_retry_after)
     {
       *signals_to (self, gateway) =
           (EndpointSignals){ .backoff_at = gs_now (self->soak),
