--- a/tests/soak/gateway_soak.c
+++ b/tests/soak/gateway_soak.c
@@ -68,7 +68,7 @@
 {
   self->violations++;
   fprintf (stderr,
-           "violated: %s: request %s to gateway-%d, at most once %d, status %u, runs %u, "
+           "broken: %s: request %s to gateway-%d, at most once %d, status %u, runs %u, "
            "key of version %u, sent %" G_GINT64_FORMAT " ms and run %" G_GINT64_FORMAT
            " ms after the key was withdrawn\n",
            promise, request->id, (int)(request->gateway - self->gateways), request->is_at_most_once,
--- a/tests/soak/gateway_soak_endpoints.c
+++ b/tests/soak/gateway_soak_endpoints.c
@@ -85,7 +85,7 @@
       && request->sent_at > signals->leaving_at + LEAVING_BOUND)
     {
       self->soak->violations++;
-      fprintf (stderr, "violated: request %s reached an endpoint that had advertised leaving\n",
+      fprintf (stderr, "broken: request %s reached an endpoint that had advertised leaving\n",
                request->id);
     }
   if (signals->backoff_at <= gateway->faulted_at || now < signals->backoff_at + BACKOFF_EFFECT_DELAY
@@ -94,7 +94,7 @@
   if (++signals->n_in_backoff <= MAX_IN_BACKOFF)
     return;
   self->soak->violations++;
-  fprintf (stderr, "violated: request %s is number %u to an endpoint during its Retry-After\n",
+  fprintf (stderr, "broken: request %s is number %u to an endpoint during its Retry-After\n",
            request->id, signals->n_in_backoff);
 }
 
@@ -170,7 +170,7 @@
   if (request == NULL)
     {
       self->violations++;
-      fprintf (stderr, "violated: a request that no caller sent reached an endpoint\n");
+      fprintf (stderr, "broken: a request that no caller sent reached an endpoint\n");
       ht_call_abort (call);
       return;
     }
@@ -264,10 +264,9 @@
       if (end - i <= most)
         continue;
       self->violations++;
-      fprintf (
-          stderr,
-          "violated: an endpoint with a limit of %u a second received %u requests, allowed %u\n",
-          endpoint->rate, end - i, most);
+      fprintf (stderr,
+               "broken: an endpoint with a limit of %u a second received %u requests, allowed %u\n",
+               endpoint->rate, end - i, most);
       return;
     }
 }
