--- a/tests/soak/gateway_soak_endpoints.c
+++ b/tests/soak/gateway_soak_endpoints.c
@@ -1,5 +1,5 @@
-/** The endpoints of the gateway soak: they fail at random and ask for backoff by Retry-After, one
- * finally advertises that it is leaving, and the last one advertises a rate limit. */
+/** The endpoints of the gateway soak: they fail at random, and all except the first send
+ * Retry-After. One finally advertises that it is leaving; the last advertises a rate limit. */
 
 #include <CUnit/CUnit.h>
 #include <string.h>
@@ -9,7 +9,7 @@
 /* Range of the rate limit, in requests a second, that the last endpoint advertises from a third of
  * the run on, and the span in which its arrivals are checked against it (see gs_check_limit()). A
  * gateway's requests count LIMIT_EFFECT_DELAY after it received the limit, and LIMIT_GRACE after
- * the last signal to its process and after the limit was set. */
+ * the last fault of its process and after the limit was set. */
 #define MIN_RATE           2
 #define MAX_RATE           7
 #define LIMIT_SPAN         (4 * KNL_SEC)
@@ -17,8 +17,8 @@
 #define LIMIT_GRACE        (3 * KNL_SEC)
 
 /* Fraction of the refusals that carry Retry-After, its value, the time after which a gateway must
- * honour it, and the number of requests that a gateway without a signal since may still send until
- * it expires. */
+ * honour it, and the number of requests that a gateway whose process had no fault since may still
+ * send until it expires. */
 #define BACKOFF_FRACTION     0.1
 #define BACKOFF_SECONDS      2
 #define BACKOFF              (BACKOFF_SECONDS * KNL_SEC)
@@ -73,7 +73,7 @@
 }
 
 /* Checks that a gateway honours the leaving signal and Retry-After. Those that it received before
- * the last signal to its process don't count, as it may have lost them. */
+ * the last fault of its process don't count, as it may have lost them. */
 static void
 check_signals (Endpoint *self, const Request *request)
 {
@@ -98,8 +98,8 @@
            request->id, signals->n_in_backoff);
 }
 
-/* Not the first endpoint: the proxy in front of it may delay requests that were sent before its
- * Retry-After. */
+/* The first endpoint never sends Retry-After: the proxy in front of it may delay requests that were
+ * sent before the gateway received it. */
 static gboolean
 asks_for_backoff (const Endpoint *self)
 {
@@ -110,12 +110,12 @@
 refuse_request (Endpoint *self, Gateway *gateway, HtCall *call, const char *id)
 {
   g_autofree char *advertised_fields = signal_fields (self, gateway);
-  gboolean backoffs = asks_for_backoff (self);
-  g_autofree char *fields =
-      g_strdup_printf ("X-Attempt-Id: %s\r\nX-Not-Run: 1\r\n%s%s", id, advertised_fields,
-                       backoffs ? "Retry-After: " G_STRINGIFY (BACKOFF_SECONDS) "\r\n" : "");
+  gboolean with_retry_after = asks_for_backoff (self);
+  g_autofree char *fields = g_strdup_printf (
+      "X-Attempt-Id: %s\r\nX-Not-Run: 1\r\n%s%s", id, advertised_fields,
+      with_retry_after ? "Retry-After: " G_STRINGIFY (BACKOFF_SECONDS) "\r\n" : "");
 
-  if (backoffs)
+  if (with_retry_after)
     {
       *signals_to (self, gateway) =
           (EndpointSignals){ .backoff_at = gs_now (self->soak),
