--- a/bench/policies.c
+++ b/bench/policies.c
@@ -317,16 +317,16 @@
   const GPtrArray *all = sv_fleet_all (request->instance->fleet);
   guint at = (guint)g_rand_int_range (request->sim->rand, 0, (gint32)all->len);
   SvEndpoint *best = NULL;
-  guint least = G_MAXUINT;
+  guint min_calls = G_MAXUINT;
 
   for (guint i = 0; i < all->len; i++)
     {
       SvEndpoint *endpoint = g_ptr_array_index (all, (at + i) % all->len);
       guint calls = sv_endpoint_load (endpoint, now_of (request->sim)).calls;
 
-      if (calls >= least)
+      if (calls >= min_calls)
         continue;
-      least = calls;
+      min_calls = calls;
       best = endpoint;
     }
   return best;
@@ -353,7 +353,7 @@
 place_routed (Request *request, const SvDemand *demand)
 {
   KnlTime now = now_of (request->sim);
-  SvDeferCase due = {
+  SvDeferCase defer_case = {
     .placement = &request->placement,
     .objective = request->kind->objective,
     .waited = now - request->submitted_at,
@@ -362,7 +362,7 @@
   KnlTime wait;
 
   sv_router_place (request->instance->fleet, demand, now, &request->placement);
-  wait = sv_defer_decide (&due);
+  wait = sv_defer_decide (&defer_case);
   return wait > 0 ? wait + g_rand_int_range (request->sim->rand, 0, 5 * KNL_MSEC) : 0;
 }
 
--- a/tests/fakes/scripted_endpoint.c
+++ b/tests/fakes/scripted_endpoint.c
@@ -66,20 +66,20 @@
   Link *self = data;
   struct evbuffer *input = bufferevent_get_input (stream);
   gsize length = evbuffer_get_length (input);
-  gsize taken = 0;
+  gsize consumed = 0;
 
-  if (ht_reader_feed (self->reader, (const char *)evbuffer_pullup (input, -1), length, &taken)
+  if (ht_reader_feed (self->reader, (const char *)evbuffer_pullup (input, -1), length, &consumed)
       == HT_READ_COMPLETE)
     {
       ht_message_free (self->endpoint->newest);
       self->endpoint->newest = ht_reader_steal (self->reader);
       self->endpoint->n_requests++;
       ht_reader_begin (self->reader, FALSE);
-      evbuffer_drain (input, taken);
+      evbuffer_drain (input, consumed);
       answer (self);
       return;
     }
-  evbuffer_drain (input, taken);
+  evbuffer_drain (input, consumed);
 }
 
 static void
--- a/tests/faults/gateway_test.c
+++ b/tests/faults/gateway_test.c
@@ -178,7 +178,7 @@
  * settings, so a reload must not free these.
  */
 static void
-test_settings_are_read_again (void)
+test_settings_are_reloaded (void)
 {
   Fixture fixture;
   g_autofree char *changed = NULL;
@@ -258,7 +258,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "settings are read again", test_settings_are_read_again },
+  { "settings are read again", test_settings_are_reloaded },
   { "stopping", test_stopping },
   { "a lost row is written again", test_a_lost_row_is_written_again },
 };
--- a/tests/faults/promises_test.c
+++ b/tests/faults/promises_test.c
@@ -300,7 +300,7 @@
  * the request to cancel it.
  */
 static void
-test_memory_of_a_killed_entry_comes_back (void)
+test_memory_of_a_killed_entry_is_freed (void)
 {
   HnCluster *cluster = hn_cluster_new (&(HnClusterOptions){ .engine_arguments = slow_engine });
   Memory wanted = { cluster, TRUE };
@@ -456,7 +456,7 @@
 static const SuiteCase cases[] = {
   { "an answer is whole or an error within its limit",
     test_an_answer_is_complete_or_an_error_within_its_limit },
-  { "memory of a killed entry comes back", test_memory_of_a_killed_entry_comes_back },
+  { "memory of a killed entry comes back", test_memory_of_a_killed_entry_is_freed },
   { "a confirmation runs at most once", test_a_confirmation_runs_at_most_once },
 };
 
--- a/tests/faults/replacement_test.c
+++ b/tests/faults/replacement_test.c
@@ -12,11 +12,11 @@
 }
 
 static void
-assert_all_completed (HnProcess *load, guint least)
+assert_all_completed (HnProcess *load, guint min_started)
 {
   HnLoad result = hn_load_await (load);
 
-  CU_ASSERT_TRUE (result.started >= least);
+  CU_ASSERT_TRUE (result.started >= min_started);
   CU_ASSERT_EQUAL (result.completed, result.started);
   CU_ASSERT_EQUAL (result.wrong, 0);
 }
@@ -51,7 +51,7 @@
  * the list as callers do.
  */
 static void
-test_an_entry_ended_gracefully_cuts_off_nothing (void)
+test_a_graceful_entry_shutdown_cuts_no_stream (void)
 {
   HnCluster *cluster = cluster_new ();
   HnInstance *instance = &cluster->instances[0];
@@ -94,7 +94,7 @@
 
 static const SuiteCase cases[] = {
   { "a killed controller fails no request", test_a_killed_controller_fails_no_request },
-  { "an entry ended gracefully cuts off nothing", test_an_entry_ended_gracefully_cuts_off_nothing },
+  { "an entry ended gracefully cuts off nothing", test_a_graceful_entry_shutdown_cuts_no_stream },
   { "rolling replacement of all instances fails no request",
     test_rolling_replacement_of_all_instances_fails_no_request },
 };
--- a/tests/soak/gateway_soak.c
+++ b/tests/soak/gateway_soak.c
@@ -64,15 +64,15 @@
 }
 
 static void
-report (Soak *self, const Request *request, const char *promise)
+report_violation (Soak *self, const Request *request, const char *guarantee)
 {
   self->violations++;
   fprintf (stderr,
            "broken: %s: request %s to gateway-%d, at most once %d, status %u, runs %u, "
            "key of version %u, sent %" G_GINT64_FORMAT " ms and run %" G_GINT64_FORMAT
            " ms after the key was withdrawn\n",
-           promise, request->id, (int)(request->gateway - self->gateways), request->is_at_most_once,
-           request->status, request->runs, request->key,
+           guarantee, request->id, (int)(request->gateway - self->gateways),
+           request->is_at_most_once, request->status, request->runs, request->key,
            (request->sent_at - withdrawn_at (self, request)) / KNL_MSEC,
            (request->ran_at - withdrawn_at (self, request)) / KNL_MSEC);
 }
@@ -213,17 +213,17 @@
   gboolean refused = request->status == 503 || request->status == 429;
 
   if (request->status == 200 && !request->is_own)
-    report (self, request, "each caller receives the answer to its own request");
+    report_violation (self, request, "each caller receives the answer to its own request");
   if (request->is_at_most_once && request->runs > 1)
-    report (self, request, "a request that is not idempotent runs at most once");
+    report_violation (self, request, "a request that is not idempotent runs at most once");
   if (request->is_at_most_once && refused && request->runs > 0)
-    report (self, request, "a refused request has not run");
+    report_violation (self, request, "a refused request has not run");
   if (request->ended_at == 0 && gs_now (self) - request->sent_at > REQUEST_TIMEOUT + ANSWER_SLACK
       && gs_now (self) - request->gateway->faulted_at > REQUEST_TIMEOUT + ANSWER_SLACK)
-    report (self, request, "each request ends within its limit");
+    report_violation (self, request, "each request ends within its limit");
   if (request->key > 0 && request->key < self->version && request->runs > 0
       && request->ran_at > withdrawn_at (self, request) + KEY_TIMEOUT)
-    report (self, request, "a withdrawn key stops working within its bound");
+    report_violation (self, request, "a withdrawn key stops working within its bound");
 }
 
 static void
@@ -255,7 +255,7 @@
   for (guint i = 0; i < GATEWAYS; i++)
     {
       if (requests[i]->status == 401 || requests[i]->status == 0)
-        report (self, requests[i], "the newest configuration is in force everywhere");
+        report_violation (self, requests[i], "the newest configuration is in force everywhere");
     }
 }
 
@@ -334,14 +334,14 @@
   Soak soak;
   guint64 version;
   KnlTime end;
-  KnlTime limited;
-  KnlTime leaves;
+  KnlTime limit_starts_at;
+  KnlTime leaving_starts_at;
   KnlTime next_fault;
 
   soak_open (&soak, seed);
   end = gs_now (&soak) + length;
-  limited = gs_now (&soak) + length / 3;
-  leaves = gs_now (&soak) + length / 2;
+  limit_starts_at = gs_now (&soak) + length / 3;
+  leaving_starts_at = gs_now (&soak) + length / 2;
   next_fault = gs_now (&soak) + FAULT_INTERVAL;
   while (gs_now (&soak) < end)
     {
@@ -351,9 +351,9 @@
       version = row_store_version (soak.store);
       g_array_append_val (soak.versions, version);
       gs_rewrite_lost_rows (&soak);
-      if (gs_now (&soak) > limited && soak.endpoints[ENDPOINTS - 1].rate == 0)
+      if (gs_now (&soak) > limit_starts_at && soak.endpoints[ENDPOINTS - 1].rate == 0)
         gs_advertise_limit (&soak);
-      soak.endpoints[LEAVING_ENDPOINT].is_leaving = gs_now (&soak) > leaves;
+      soak.endpoints[LEAVING_ENDPOINT].is_leaving = gs_now (&soak) > leaving_starts_at;
       if (gs_now (&soak) < next_fault)
         continue;
       gs_inject (&soak);
@@ -367,7 +367,7 @@
   printf ("seed %u: %u requests, %u answered, %u counted against a limit of %u, "
           "%u answers with Retry-After, %u violations\n",
           seed, soak.next, soak.answered, soak.endpoints[ENDPOINTS - 1].arrivals->len,
-          soak.endpoints[ENDPOINTS - 1].rate, soak.backoffs, soak.violations);
+          soak.endpoints[ENDPOINTS - 1].rate, soak.n_retry_after, soak.violations);
   if (soak.violations > 0)
     print_logs (&soak);
   CU_ASSERT_EQUAL (soak.violations, 0);
@@ -380,14 +380,14 @@
 static KnlTime seconds;
 
 static void
-test_gateways_keep_their_promises (void)
+test_gateways_keep_their_guarantees (void)
 {
   for (guint32 seed = first; seed < first + count; seed++)
     run_seed (seed, seconds * KNL_SEC);
 }
 
 static const SuiteCase cases[] = {
-  { "gateways keep their promises under faults", test_gateways_keep_their_promises },
+  { "gateways keep their promises under faults", test_gateways_keep_their_guarantees },
 };
 
 int
--- a/tests/soak/gateway_soak_endpoints.c
+++ b/tests/soak/gateway_soak_endpoints.c
@@ -19,11 +19,11 @@
 /* Fraction of the refusals that carry Retry-After, its value, the time after which a gateway must
  * honour it, and the number of requests that a gateway whose process had no fault since may still
  * send until it expires. */
-#define BACKOFF_FRACTION     0.1
-#define BACKOFF_SECONDS      2
-#define BACKOFF              (BACKOFF_SECONDS * KNL_SEC)
-#define BACKOFF_EFFECT_DELAY (500 * KNL_MSEC)
-#define MAX_IN_BACKOFF       2
+#define RETRY_AFTER_FRACTION     0.1
+#define RETRY_AFTER_SECONDS      2
+#define RETRY_AFTER              (RETRY_AFTER_SECONDS * KNL_SEC)
+#define RETRY_AFTER_EFFECT_DELAY (500 * KNL_MSEC)
+#define MAX_DURING_RETRY_AFTER   2
 
 /* No request that a caller sends later than this after a gateway received the leaving signal may
  * reach the endpoint through that gateway. */
@@ -88,39 +88,41 @@
       fprintf (stderr, "broken: request %s reached an endpoint that had advertised leaving\n",
                request->id);
     }
-  if (signals->backoff_at <= gateway->faulted_at || now < signals->backoff_at + BACKOFF_EFFECT_DELAY
-      || now >= signals->backoff_at + BACKOFF)
+  if (signals->retry_after_at <= gateway->faulted_at
+      || now < signals->retry_after_at + RETRY_AFTER_EFFECT_DELAY
+      || now >= signals->retry_after_at + RETRY_AFTER)
     return;
-  if (++signals->n_in_backoff <= MAX_IN_BACKOFF)
+  if (++signals->n_during_retry_after <= MAX_DURING_RETRY_AFTER)
     return;
   self->soak->violations++;
   fprintf (stderr, "broken: request %s is number %u to an endpoint during its Retry-After\n",
-           request->id, signals->n_in_backoff);
+           request->id, signals->n_during_retry_after);
 }
 
 /* The first endpoint never sends Retry-After: the proxy in front of it may delay requests that were
  * sent before the gateway received it. */
 static gboolean
-asks_for_backoff (const Endpoint *self)
+sends_retry_after (const Endpoint *self)
 {
-  return self != &self->soak->endpoints[0] && g_rand_double (self->soak->rand) < BACKOFF_FRACTION;
+  return self != &self->soak->endpoints[0]
+         && g_rand_double (self->soak->rand) < RETRY_AFTER_FRACTION;
 }
 
 static void
 refuse_request (Endpoint *self, Gateway *gateway, HtCall *call, const char *id)
 {
   g_autofree char *advertised_fields = signal_fields (self, gateway);
-  gboolean with_retry_after = asks_for_backoff (self);
+  gboolean with_retry_after = sends_retry_after (self);
   g_autofree char *fields = g_strdup_printf (
       "X-Attempt-Id: %s\r\nX-Not-Run: 1\r\n%s%s", id, advertised_fields,
-      with_retry_after ? "Retry-After: " G_STRINGIFY (BACKOFF_SECONDS) "\r\n" : "");
+      with_retry_after ? "Retry-After: " G_STRINGIFY (RETRY_AFTER_SECONDS) "\r\n" : "");
 
   if (with_retry_after)
     {
       *signals_to (self, gateway) =
-          (EndpointSignals){ .backoff_at = gs_now (self->soak),
+          (EndpointSignals){ .retry_after_at = gs_now (self->soak),
                              .leaving_at = signals_to (self, gateway)->leaving_at };
-      self->soak->backoffs++;
+      self->soak->n_retry_after++;
     }
   ht_call_answer (call, 503, fields, NULL, 0);
 }
@@ -251,7 +253,7 @@
 void
 gs_check_limit (Soak *self, const Endpoint *endpoint)
 {
-  guint most = (guint)(1.5 * endpoint->rate * LIMIT_SPAN / KNL_SEC) + 5;
+  guint max_arrivals = (guint)(1.5 * endpoint->rate * LIMIT_SPAN / KNL_SEC) + 5;
   guint end = 0;
 
   for (guint i = 0; i < endpoint->arrivals->len; i++)
@@ -261,12 +263,12 @@
       while (end < endpoint->arrivals->len
              && g_array_index (endpoint->arrivals, KnlTime, end) - from < LIMIT_SPAN)
         end++;
-      if (end - i <= most)
+      if (end - i <= max_arrivals)
         continue;
       self->violations++;
       fprintf (stderr,
                "broken: an endpoint with a limit of %u a second received %u requests, allowed %u\n",
-               endpoint->rate, end - i, most);
+               endpoint->rate, end - i, max_arrivals);
       return;
     }
 }
--- a/tests/soak/gateway_soak_faults.c
+++ b/tests/soak/gateway_soak_faults.c
@@ -40,20 +40,20 @@
 }
 
 static void
-fault_store (Soak *self, Gateway *gateway)
+fault_store_mode (Soak *self, Gateway *gateway)
 {
   row_store_set_mode (self->store, (RowStoreMode)g_rand_int_range (self->rand, 0, 4));
 }
 
 static void
-fault_history (Soak *self, Gateway *gateway)
+fault_truncate_history (Soak *self, Gateway *gateway)
 {
   row_store_truncate_history (self->store);
 }
 
 /* Restores the store from a copy that is up to three seconds old. */
 static void
-fault_copy (Soak *self, Gateway *gateway)
+fault_restore (Soak *self, Gateway *gateway)
 {
   guint steps = (guint)g_rand_int_range (self->rand, 1, MAX_COPY_AGE_STEPS);
   guint64 version = g_array_index (self->versions, guint64,
@@ -116,8 +116,9 @@
 gs_inject (Soak *self)
 {
   static void (*const faults[]) (Soak *, Gateway *) = {
-    fault_reload, fault_history, fault_config, fault_proxy,     fault_copy,
-    fault_store,  fault_pause,   fault_kill,   fault_terminate,
+    fault_reload,    fault_truncate_history, fault_config, fault_proxy,
+    fault_restore,   fault_store_mode,       fault_pause,  fault_kill,
+    fault_terminate,
   };
   guint n = self->is_calm ? CALM_FAULTS : G_N_ELEMENTS (faults);
   guint chosen = (guint)g_rand_int_range (self->rand, 0, (gint32)n);
--- a/tests/soak/gateway_soak_internal.h
+++ b/tests/soak/gateway_soak_internal.h
@@ -28,9 +28,9 @@
 /** What an endpoint has advertised to a gateway in its answers. */
 typedef struct
 {
-  KnlTime leaving_at; /* when it advertised that it is leaving; 0: not yet */
-  KnlTime backoff_at; /* when it last sent Retry-After; 0: not yet */
-  guint n_in_backoff; /* requests that arrived before that Retry-After expired */
+  KnlTime leaving_at;         /* when it advertised that it is leaving; 0: not yet */
+  KnlTime retry_after_at;     /* when it last sent Retry-After; 0: not yet */
+  guint n_during_retry_after; /* requests that arrived before that Retry-After expired */
 } EndpointSignals;
 
 typedef struct
@@ -79,8 +79,8 @@
   guint version;
   guint next;
   guint answered;
-  guint backoffs;   /* answers with Retry-After */
-  guint violations; /* violations of the guarantees */
+  guint n_retry_after; /* answers with Retry-After */
+  guint violations;    /* violations of the guarantees */
 };
 
 static inline KnlTime
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -10,7 +10,7 @@
 #define LEAVING_MARGIN (3 * KNL_SEC)
 
 static void
-violation (Soak *soak, const char *what, const char *detail)
+report_violation (Soak *soak, const char *what, const char *detail)
 {
   soak->result.violations++;
   printf ("seed %u: violated: %s: %s\n", soak->options->seed, what, detail != NULL ? detail : "");
@@ -101,9 +101,9 @@
   if (caller->ends == 0 && lost)
     soak->result.lost++;
   else if (caller->ends != 1)
-    violation (soak, "ends exactly once", text);
+    report_violation (soak, "ends exactly once", text);
   else if (caller->ended_at > caller->submitted_at + caller->limit + LIMIT_MARGIN)
-    violation (soak, "ends within its limit", text);
+    report_violation (soak, "ends within its limit", text);
   else if (!caller->failed)
     soak->result.done++;
   else if (caller->outcome == EN_OUTCOME_NOT_RUN)
@@ -111,7 +111,7 @@
   else
     soak->result.failed++;
   if (caller->wrong)
-    violation (soak, "complete and own answer", text);
+    report_violation (soak, "complete and own answer", text);
 }
 
 static guint
@@ -158,12 +158,12 @@
       guint runs = caller->key != NULL ? runs_of_key (soak, caller->key) : 0;
 
       if (runs > 1)
-        violation (soak, "non-idempotent at most once", text);
+        report_violation (soak, "non-idempotent at most once", text);
       if (caller->ends > 0 && !caller->failed && caller->key != NULL && runs != 1)
-        violation (soak, "done means run", text);
+        report_violation (soak, "done means run", text);
       if (caller->ends > 0 && caller->failed && caller->outcome == EN_OUTCOME_NOT_RUN
           && caller->key == NULL && g_hash_table_contains (ran.prompts, &caller->prompt_hash))
-        violation (soak, "not run means not run", text);
+        report_violation (soak, "not run means not run", text);
     }
   g_hash_table_unref (done_keys);
   g_hash_table_unref (ran.prompts);
@@ -178,7 +178,8 @@
                                           fk_deployment_engine_address (soak->deployment, i));
 
       if (engine == NULL || sd_engine_reserved_tokens (engine) != 0)
-        violation (soak, "memory is released", fk_deployment_engine_address (soak->deployment, i));
+        report_violation (soak, "memory is released",
+                          fk_deployment_engine_address (soak->deployment, i));
     }
 }
 
@@ -192,8 +193,8 @@
       for (FkDaemonKind kind = 0; kind < FK_DAEMONS; kind++)
         {
           if (fk_deployment_revision (soak->deployment, i, kind) != expected)
-            violation (soak, "configuration in force everywhere",
-                       kind == FK_ENTRY ? "entry" : "controller");
+            report_violation (soak, "configuration in force everywhere",
+                              kind == FK_ENTRY ? "entry" : "controller");
         }
     }
 }
@@ -205,7 +206,7 @@
 
 /* Sometimes changes a weight through a random controller, as an operator would. */
 static void
-operate (Soak *soak)
+maybe_change_weight (Soak *soak)
 {
   char *body;
 
@@ -233,7 +234,7 @@
       if (g_rand_int_range (soak->rand, 0, 4) == 0)
         submit (soak);
       disconnect_some (soak);
-      operate (soak);
+      maybe_change_weight (soak);
       if (knl_paused_clock_now (soak->clock) >= next_fault)
         {
           soak_faults_begin (soak, active);
@@ -264,7 +265,7 @@
   soak.deployment = fk_deployment_new (&deployment);
   soak.clock = fk_deployment_clock (soak.deployment);
   if (!fk_deployment_apply (soak.deployment, changes))
-    violation (&soak, "configuration is accepted", NULL);
+    report_violation (&soak, "configuration is accepted", NULL);
   knl_paused_clock_advance (soak.clock, 10 * KNL_SEC);
   run_load (&soak);
   for (guint i = 0; i < soak.callers->len; i++)
--- a/tests/soak/soak_faults.c
+++ b/tests/soak/soak_faults.c
@@ -75,7 +75,7 @@
 }
 
 static void
-cut_off (Soak *soak, guint target, gboolean begins)
+cut_off_instance (Soak *soak, guint target, gboolean begins)
 {
   g_autofree char *name = g_strdup_printf ("instance-%u", target);
 
@@ -105,14 +105,14 @@
 }
 
 static void
-platform_loses (Soak *soak, guint target, gboolean begins)
+platform_loses_answers (Soak *soak, guint target, gboolean begins)
 {
   sd_table_set_fault (table_of (soak), begins ? SD_TABLE_LOSE_ANSWERS : SD_TABLE_NORMAL, 0,
                       begins ? 5 : 0);
 }
 
 static void
-lose_platform_answers (Soak *soak, guint target, gboolean begins)
+controller_loses_answers (Soak *soak, guint target, gboolean begins)
 {
   if (fk_deployment_is_up (soak->deployment, target, FK_CONTROLLER))
     fk_memory_platform_set_fault (fk_deployment_platform (soak->deployment, target),
@@ -188,12 +188,12 @@
   { "kill entry", kill_entry, FALSE },
   { "kill controller", kill_controller, FALSE },
   { "freeze controller", freeze_controller, FALSE },
-  { "cut off instance", cut_off, FALSE },
+  { "cut off instance", cut_off_instance, FALSE },
   { "freeze links", freeze_links, TRUE },
   { "platform outage", platform_outage, FALSE },
   { "platform slow", platform_slow, FALSE },
-  { "platform loses answers", platform_loses, FALSE },
-  { "controller loses platform answers", lose_platform_answers, FALSE },
+  { "platform loses answers", platform_loses_answers, FALSE },
+  { "controller loses platform answers", controller_loses_answers, FALSE },
   { "crash engine", crash_engine, FALSE },
   { "freeze engine", freeze_engine, FALSE },
   { "connection fault", connection_fault, TRUE },
