--- a/coord/credit.c
+++ b/coord/credit.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "common/log.h"
-#include "coord/fair_part.h"
+#include "coord/fair_share.h"
 #include "coord/request_id.h"
 
 /* After a takeover nothing is granted for the TTL plus 1/4 of it, as clocks may differ in speed. */
--- a/coord/fair_part.c
+++ b/coord/fair_share.c
@@ -1,4 +1,4 @@
-#include "coord/fair_part.h"
+#include "coord/fair_share.h"
 
 guint64
 co_fair_share (const GArray *wants, guint64 own, guint64 capacity, double reserve)
--- a/include/serve/fleet.h
+++ b/include/serve/fleet.h
@@ -8,12 +8,12 @@
 #include <glib.h>
 
 #include "kernel/kernel.h"
-#include "policy/belief.h"
+#include "policy/shared_health.h"
 #include "policy/health.h"
 #include "policy/limit.h"
 #include "serve/config.h"
 #include "serve/position.h"
-#include "serve/reads.h"
+#include "serve/prefills.h"
 
 typedef struct SvFleet SvFleet;
 
--- a/policy/belief.c
+++ b/policy/shared_health.c
@@ -1,4 +1,4 @@
-#include "policy/belief.h"
+#include "policy/shared_health.h"
 
 #include "policy/health.h"
 
--- a/serve/confirm.c
+++ b/serve/confirm.c
@@ -1,7 +1,7 @@
 #include "serve/confirm.h"
 
 #include "peers_internal.h"
-#include "serve/awaited.h"
+#include "serve/pending_configs.h"
 
 /* Fractions of the maximum age `max_staleness`: the interval of requests to peers, the age from
  * which they are sent, and the age from which the store is queried as well. A follower's
--- a/serve/awaited.c
+++ b/serve/pending_configs.c
@@ -1,4 +1,4 @@
-#include "serve/awaited.h"
+#include "serve/pending_configs.h"
 
 #include <string.h>
 
--- a/serve/reads.c
+++ b/serve/prefills.c
@@ -1,4 +1,4 @@
-#include "serve/reads.h"
+#include "serve/prefills.h"
 
 typedef struct
 {
--- a/tests/unit/sv_outdated_test.c
+++ b/tests/unit/sv_stale_config_test.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#include "serve/awaited.h"
+#include "serve/pending_configs.h"
 #include "suite.h"
 #include "sv_fixture.h"
 
